--- a/packages/loomyard-router/src/loomyard_router/admission/place_keeper.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/place_keeper.py
@@ -17,7 +17,7 @@
 )
 from loomyard_router.admission.serving_order import GapForTheLeastServed, ServingOrder
 from loomyard_router.announced.cold_targets import WARM
-from loomyard_router.members.pause import PauseWatch
+from loomyard_router.members.pause_detector import PauseDetector
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
@@ -204,11 +204,11 @@
                 self._serve(book)
 
     def _run(self) -> None:
-        pause = PauseWatch(slack=PAUSE_SECONDS, bound=PAUSE_SECONDS, due=self._clock.now())
+        pause = PauseDetector(slack=PAUSE_SECONDS, bound=PAUSE_SECONDS, due=self._clock.now())
         while True:
             pause.due = self._clock.now() + SWEEP_SECONDS
             self._clock.sleep(SWEEP_SECONDS)
-            late, paused = pause.tick(self._clock.now())
+            late, paused = pause.check(self._clock.now())
             if paused:
                 # It heard nobody meanwhile, so nobody's silence counts for that time.
                 for book in self._books.values():
--- a/packages/loomyard-router/src/loomyard_router/announced/announced_figures.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/announced_figures.py
@@ -6,7 +6,7 @@
 
 from attrs import frozen
 
-from loomyard_router.feeds.unreadable_entry import Unreadable
+from loomyard_router.feeds.unreadable_entry import UnreadableReason
 
 
 @frozen(kw_only=True)
@@ -25,4 +25,4 @@
     resting: Callable[[], int] = lambda: 0
     said_leaving: Callable[[], int] = lambda: 0
     rests_asked: Callable[[], int] = lambda: 0
-    unreadable: Callable[[], Mapping[tuple[str, Unreadable], int]] = dict
+    unreadable: Callable[[], Mapping[tuple[str, UnreadableReason], int]] = dict
--- a/packages/loomyard-router/src/loomyard_router/announced/announced_target.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/announced_target.py
@@ -5,7 +5,7 @@
 from attrs import field, frozen
 
 from loomyard_router.announced.target_life import TargetLife, name_life
-from loomyard_router.feeds.feed_position import NOWHERE, FeedPosition
+from loomyard_router.feeds.feed_position import NO_POSITION, FeedPosition
 
 
 @frozen(kw_only=True)
@@ -25,7 +25,7 @@
     draining: bool = False
     born: int | None = None
     cold_seconds: float = 0.0
-    position: FeedPosition = field(default=NOWHERE, eq=False)
+    position: FeedPosition = field(default=NO_POSITION, eq=False)
     life: TargetLife = field(init=False, repr=False)
 
     @life.default
--- a/packages/loomyard-router/src/loomyard_router/announced/emptied_data_centres.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/emptied_data_centres.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from loomyard.events import Event, emit
-from loomyard_router.feeds.record_taker import STORE
+from loomyard_router.feeds.record_consumer import STORE
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -38,16 +38,16 @@
         """Call back with all emptied data centres after each change."""
         self._listeners.append(changed)
 
-    def take_listing(self, records: list[KeyedRecord], source: str) -> None:
+    def apply_listing(self, records: list[KeyedRecord], source: str) -> None:
         self._replace(self._follow({}, records))
 
-    def take_records(self, records: list[KeyedRecord], source: str = STORE) -> None:
+    def apply_records(self, records: list[KeyedRecord], source: str = STORE) -> None:
         self._replace(self._follow(self._positions, records))
 
-    def note_lost(self) -> None:
+    def on_store_lost(self) -> None:
         pass
 
-    def note_regained(self) -> None:
+    def on_store_recovered(self) -> None:
         pass
 
     def _follow(
--- a/packages/loomyard-router/src/loomyard_router/announced/order_losses.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/order_losses.py
@@ -29,12 +29,12 @@
     def __init__(self, find_name: Callable[[str], str | None]) -> None:
         self._find_name = find_name
 
-    def outlasts(self, believed: KeyedRecord, said: KeyedRecord | None, *, copied: bool) -> bool:
+    def retains(self, believed: KeyedRecord, said: KeyedRecord | None, *, copied: bool) -> bool:
         if believed.value is None:
             return said is not None and said.value is not None and copied
         if self._find_name(believed.key) is None:
             return copied
         return said is None or said.value is None
 
-    def seconds(self, believed: KeyedRecord) -> float:
+    def retention_seconds(self, believed: KeyedRecord) -> float:
         return TAKEN_BACK_SECONDS if believed.value is None else ORDER_SECONDS
--- a/packages/loomyard-router/src/loomyard_router/announced/target_feed.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_feed.py
@@ -7,7 +7,7 @@
 from attrs import evolve
 from result import Err, Ok
 
-from loomyard_router.feeds.record_taker import PEER, STORE
+from loomyard_router.feeds.record_consumer import PEER, STORE
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -36,23 +36,23 @@
         self._decode = decode
         self._unreadable = unreadable
 
-    def take_listing(self, records: list[KeyedRecord], source: str) -> None:
+    def apply_listing(self, records: list[KeyedRecord], source: str) -> None:
         targets, withdrawn = self._decode_all(records)
         # First, so that they don't seem to have lapsed with the rest of their service.
         self._board.withdraw(withdrawn)
         self._board.replace_all(targets, by_peer=source == PEER)
 
-    def take_records(self, records: list[KeyedRecord], source: str = STORE) -> None:
+    def apply_records(self, records: list[KeyedRecord], source: str = STORE) -> None:
         newest = {record.key: record for record in records}
         dropped = [record.key for record in newest.values() if record.value is None]
         targets, withdrawn = self._decode_all(list(newest.values()))
         self._board.withdraw(withdrawn)
         self._board.apply(targets, dropped, by_peer=source == PEER)
 
-    def note_lost(self) -> None:
+    def on_store_lost(self) -> None:
         self._board.note_store_lost()
 
-    def note_regained(self) -> None:
+    def on_store_recovered(self) -> None:
         self._board.note_store_back()
 
     def _decode_all(self, records: list[KeyedRecord]) -> tuple[list[AnnouncedTarget], list[str]]:
@@ -65,6 +65,6 @@
                 case Ok(target):
                     targets.append(evolve(target, position=record.position))
                 case Err(entry):
-                    self._unreadable.note(FEED, record.key, record.position, entry)
+                    self._unreadable.report(FEED, record.key, record.position, entry)
                     unreadable.append(record.key)
         return targets, unreadable
--- a/packages/loomyard-router/src/loomyard_router/announced/target_losses.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_losses.py
@@ -33,7 +33,7 @@
     ) -> None:
         self._decode = decode
 
-    def outlasts(self, believed: KeyedRecord, said: KeyedRecord | None, *, copied: bool) -> bool:
+    def retains(self, believed: KeyedRecord, said: KeyedRecord | None, *, copied: bool) -> bool:
         if believed.value is None:
             return said is not None and said.value is not None and copied
         if said is None:
@@ -47,7 +47,7 @@
             return before.draining
         return copied
 
-    def seconds(self, believed: KeyedRecord) -> float:
+    def retention_seconds(self, believed: KeyedRecord) -> float:
         return ANNOUNCED_SECONDS
 
     def _read(self, record: KeyedRecord) -> AnnouncedTarget | None:
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_ledger.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_ledger.py
@@ -10,7 +10,7 @@
 
 from loomyard_router.announced.target_life import TargetLife
 from loomyard_router.crashes.crash_record import CrashRecord
-from loomyard_router.members.digests import set_digest
+from loomyard_router.members.digests import unordered_digest
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
@@ -69,7 +69,7 @@
     def digest(self) -> int:
         """Return a sum over what the records say, equal where two routers know the same."""
         if self._digest is None:
-            self._digest = set_digest(
+            self._digest = unordered_digest(
                 [one.fingerprint, one.cleared, sorted(one.ends.items())]
                 for one in self._records.values()
             )
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_memory.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_memory.py
@@ -15,7 +15,7 @@
 from loomyard_router.announced.target_life import TargetLife
 from loomyard_router.crashes.crash_ledger import BLOCKING_LEVEL, FORGET_SECONDS
 from loomyard_router.crashes.crash_messages import MOST_NAME, CrashWord, read_word
-from loomyard_router.feeds.unreadable_entry import MOST_DETAIL
+from loomyard_router.feeds.unreadable_entry import MAX_DETAIL_CHARS
 from loomyard_router.peers.compact_codec import pack, unpack
 
 if TYPE_CHECKING:
@@ -180,6 +180,11 @@
         case Ok(record):
             return record
         case Err(detail):
-            emit(logger, Event.ENTRY_UNREADABLE, key=key[:MOST_NAME], detail=detail[:MOST_DETAIL])
+            emit(
+                logger,
+                Event.ENTRY_UNREADABLE,
+                key=key[:MOST_NAME],
+                detail=detail[:MAX_DETAIL_CHARS],
+            )
     # It is past its end, so its router drops it.
     return KeptRecord(until=0)
--- a/packages/loomyard-router/src/loomyard_router/feeds/believed_records.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/believed_records.py
@@ -7,14 +7,14 @@
 
 from attrs import evolve, frozen
 
-from loomyard_router.feeds.feed_position import NOWHERE, FeedPosition
+from loomyard_router.feeds.feed_position import NO_POSITION, FeedPosition
 from loomyard_router.feeds.keyed_record import KeyedRecord
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from loomyard.clock import Clock
-    from loomyard_router.feeds.loss_policy import LossPolicy
+    from loomyard_router.feeds.rollback_policy import RollbackPolicy
 
 # Earlier records of keys by which a copy is known again. A copy is some seconds old, and a fleet of
 # 600 targets writes some hundred records in them.
@@ -49,12 +49,12 @@
 class BelievedRecords:
     """Keep records by key; after a loss hold those of before that the policy lets stand."""
 
-    def __init__(self, clock: Clock, policy: LossPolicy) -> None:
+    def __init__(self, clock: Clock, policy: RollbackPolicy) -> None:
         self._clock = clock
         self._policy = policy
-        self._position = NOWHERE
+        self._position = NO_POSITION
         # From here on each key that was dropped is remembered.
-        self._complete_from = NOWHERE
+        self._complete_from = NO_POSITION
         self._said: dict[str, KeyedRecord] = {}
         self._held: dict[str, _Held] = {}
         # Records that later ones replaced, by key, offset and the hash of their value, which may be
@@ -101,9 +101,9 @@
         """Take a whole listing over, and what another router holds; return a loss it shows."""
         said = {record.key: self._recall(record) for record in records}
         loss = None
-        if self._position.era != position.era or self._complete_from is NOWHERE:
+        if self._position.era != position.era or self._complete_from is NO_POSITION:
             self._complete_from = position
-        if self._position is not NOWHERE and position.era > self._position.era:
+        if self._position is not NO_POSITION and position.era > self._position.era:
             loss = self._hold(said, position)
         else:
             self._note_replaced(said, position)
@@ -122,7 +122,7 @@
         for record in records:
             self._put(record)
             held = self._held.get(record.key)
-            if held is None or not self._policy.outlasts(held.record, record, copied=False):
+            if held is None or not self._policy.retains(held.record, record, copied=False):
                 self._held.pop(record.key, None)
                 changes.append(record)
         return changes
@@ -144,7 +144,7 @@
         """Give what is held its whole time again: nobody could write meanwhile."""
         now = self._clock.now()
         for key, held in self._held.items():
-            until = now + self._policy.seconds(held.record)
+            until = now + self._policy.retention_seconds(held.record)
             self._held[key] = _Held(held.record, until)
 
     def _hold(self, said: dict[str, KeyedRecord], position: FeedPosition) -> Loss:
@@ -162,8 +162,8 @@
             copied = new is None or self._is_earlier(new)
             if record.value is not None and copied:
                 (lacked if new is None else older).append(key)
-            if self._policy.outlasts(record, new, copied=copied):
-                held[key] = _Held(record, now + self._policy.seconds(record))
+            if self._policy.retains(record, new, copied=copied):
+                held[key] = _Held(record, now + self._policy.retention_seconds(record))
         self._held = held
         return Loss(self._position, position, tuple(lacked), tuple(older))
 
@@ -172,13 +172,13 @@
         now = self._clock.now()
         for one in told:
             record = one.record
-            until = now + min(one.left / MILLISECONDS, self._policy.seconds(record))
+            until = now + min(one.left / MILLISECONDS, self._policy.retention_seconds(record))
             if record.key not in self._held and self._stands(record, self._said.get(record.key)):
                 self._held[record.key] = _Held(record, until)
 
     def _stands(self, believed: KeyedRecord, said: KeyedRecord | None) -> bool:
         copied = said is None or self._is_earlier(said) or said.era < self._position.era
-        return self._policy.outlasts(believed, said, copied=copied)
+        return self._policy.retains(believed, said, copied=copied)
 
     def _recall(self, record: KeyedRecord) -> KeyedRecord:
         """Return the record itself where it is known already, also across a loss."""
--- a/packages/loomyard-router/src/loomyard_router/feeds/exchange_messages.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/exchange_messages.py
@@ -5,7 +5,7 @@
 from attrs import field, frozen
 
 from loomyard_router.feeds.believed_records import HeldRecord
-from loomyard_router.feeds.feed_position import NOWHERE, FeedPosition
+from loomyard_router.feeds.feed_position import NO_POSITION, FeedPosition
 from loomyard_router.feeds.keyed_record import KeyedRecord
 from loomyard_router.peers.message_types import peer_message
 
@@ -48,7 +48,7 @@
     those that changed since the position that was asked for, ``None`` in them for dropped keys.
     """
 
-    position: FeedPosition = NOWHERE
+    position: FeedPosition = NO_POSITION
     records: list[KeyedRecord] = field(factory=list)
     answering: bool = True
     era: int = 0
--- a/packages/loomyard-router/src/loomyard_router/feeds/feed.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/feed.py
@@ -15,7 +15,7 @@
     from loomyard.errors import Fault
 
 # What an answer may take beyond the wait that was asked for, in seconds; a slow store takes 0.4.
-ANSWER_SECONDS = 1.0
+ANSWER_MARGIN_SECONDS = 1.0
 
 
 @frozen(kw_only=True)
@@ -48,7 +48,7 @@
     def name(self) -> str:
         """Return the name for logs."""
 
-    def newest(self, deadline: float) -> Result[Listing, Fault]:
+    def fetch_listing(self, deadline: float) -> Result[Listing, Fault]:
         """Return the newest record of each key, all of one era."""
 
     def read(self, offset: int, wait_until: float) -> Result[Batch, Fault]:
--- a/packages/loomyard-router/src/loomyard_router/feeds/feed_asker.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/feed_asker.py
@@ -12,7 +12,7 @@
 from loomyard.events import Event, emit
 from loomyard_router.feeds.exchange_messages import FeedAnswer, FeedRequest, FeedWait
 from loomyard_router.feeds.feed_follower import LOG_DIGITS
-from loomyard_router.feeds.feed_position import NOWHERE, FeedPosition
+from loomyard_router.feeds.feed_position import NO_POSITION, FeedPosition
 from loomyard_router.feeds.feed_readers import choose_readers
 from loomyard_router.feeds.feed_state import FeedState
 
@@ -66,7 +66,7 @@
         self._peers = peers
         self._follower = follower
         self._random = source
-        self._announced = NOWHERE
+        self._announced = NO_POSITION
         self._behind_since: float | None = None
         self._heard = GeventEvent()
         self._lost = GeventEvent()
@@ -83,7 +83,7 @@
             name=follower.name,
             position=follower.position,
             announced=self._announced,
-            silent=self._clock.now() - follower.answered_at,
+            silent_seconds=self._clock.now() - follower.answered_at,
             dropped=follower.era.dropped,
         )
 
@@ -104,7 +104,7 @@
     def note_announced(self, position: FeedPosition) -> None:
         """Take in that some router has read up to a position."""
         self._announced = max(self._announced, position)
-        self._follower.era.hear(position.era)
+        self._follower.era.observe(position.era)
         if self._is_behind and self._behind_since is None:
             self._behind_since = self._clock.now()
             self._heard.set()
@@ -180,7 +180,7 @@
 
     def _take(self, peer: str, answer: FeedAnswer) -> None:
         follower = self._follower
-        if answer.position <= follower.position or not follower.era.note(answer.position.era):
+        if answer.position <= follower.position or not follower.era.accept(answer.position.era):
             self._in_vain += 1
             return
         since = self._behind_since
--- a/packages/loomyard-router/src/loomyard_router/feeds/feed_exchange.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/feed_exchange.py
@@ -11,7 +11,7 @@
 from loomyard.util.waiting import wait_any
 from loomyard_router.feeds.exchange_messages import FeedAnswer, FeedRequest, FeedWait
 from loomyard_router.feeds.feed_asker import MILLISECONDS, REQUEST_SECONDS, FeedAsker
-from loomyard_router.feeds.feed_position import NOWHERE, read_position
+from loomyard_router.feeds.feed_position import NO_POSITION, read_position
 from loomyard_router.feeds.feed_readers import choose_readers
 
 if TYPE_CHECKING:
@@ -95,11 +95,11 @@
         follower = self._followers.get(request.feed)
         if follower is None:
             return FeedAnswer(answering=False)
-        follower.era.hear(request.era)
+        follower.era.observe(request.era)
         newer = follower.position > request.beyond
         changes = follower.changes_since(request.beyond) if newer else []
         return FeedAnswer(
-            position=follower.position if newer else NOWHERE,
+            position=follower.position if newer else NO_POSITION,
             records=follower.records if changes is None else changes,
             answering=_has_store(follower),
             era=follower.era.newest,
@@ -112,7 +112,7 @@
         follower = self._followers.get(request.feed)
         deadline = self._clock.now() + request.wait / MILLISECONDS
         if follower is not None:
-            follower.era.hear(request.era)
+            follower.era.observe(request.era)
         while (
             follower is not None
             and follower.position <= request.beyond
@@ -162,7 +162,7 @@
         deadline = self._clock.now() + NEWS_SECONDS + REQUEST_SECONDS
         match self._peers.request(reader, request, deadline):
             case Ok(FeedAnswer() as answer) if answer.answering:
-                follower.era.hear(answer.era)
+                follower.era.observe(answer.era)
                 return answer
         # Trying a second reader would take this one past the bound on a configuration.
         self._own_until[follower.name] = self._clock.now() + OWN_SECONDS
--- a/packages/loomyard-router/src/loomyard_router/feeds/feed_follower.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/feed_follower.py
@@ -13,9 +13,9 @@
 from loomyard.events import Event, emit
 from loomyard_router.feeds.believed_records import BelievedRecords
 from loomyard_router.feeds.feed import Batch
-from loomyard_router.feeds.feed_position import NOWHERE, FeedPosition
-from loomyard_router.feeds.loss_policy import LossPolicy, StoreIsRight
-from loomyard_router.feeds.record_taker import PEER, STORE, RecordTaker
+from loomyard_router.feeds.feed_position import NO_POSITION, FeedPosition
+from loomyard_router.feeds.record_consumer import PEER, STORE, RecordConsumer
+from loomyard_router.feeds.rollback_policy import RollbackPolicy, StoreIsRight
 from loomyard_router.feeds.store_era import StoreEra
 
 if TYPE_CHECKING:
@@ -58,13 +58,13 @@
     def __init__(
         self,
         feed: Feed,
-        taker: RecordTaker,
+        taker: RecordConsumer,
         clock: Clock,
         source: random.Random,
         *,
         pace: float = 0.0,
         era: StoreEra | None = None,
-        losses: LossPolicy | None = None,
+        losses: RollbackPolicy | None = None,
     ) -> None:
         self._pace = pace
         self._era = era or StoreEra()
@@ -91,7 +91,7 @@
     @property
     def position(self) -> FeedPosition:
         """Return where the first record stands that was not read."""
-        return NOWHERE if self._position is None else self._position
+        return NO_POSITION if self._position is None else self._position
 
     @property
     def era(self) -> StoreEra:
@@ -165,11 +165,11 @@
 
     def hear(self, answer: FeedAnswer) -> None:
         """Take over what another router answered."""
-        if answer.position is NOWHERE or answer.position <= self.position:
+        if answer.position is NO_POSITION or answer.position <= self.position:
             return
         if not answer.changes:
             self.take_over(answer.records, answer.position, answer.held)
-        elif self.position.era == answer.position.era and self._era.note(answer.position.era):
+        elif self.position.era == answer.position.era and self._era.accept(answer.position.era):
             self._take(Batch(records=answer.records, position=answer.position), PEER)
 
     def take_over(
@@ -179,7 +179,7 @@
         held: Iterable[HeldRecord] = (),
     ) -> None:
         """Take over what another router read further than this one."""
-        if position > self.position and self._era.note(position.era):
+        if position > self.position and self._era.accept(position.era):
             self._adopt(records, position, PEER, held)
 
     def start(self) -> None:
@@ -221,14 +221,14 @@
         self.hear(answer)
 
     def _list(self) -> Fault | None:
-        match self._feed.newest(self._clock.now() + LIST_SECONDS):
+        match self._feed.fetch_listing(self._clock.now() + LIST_SECONDS):
             case Ok(listing):
                 held: list[HeldRecord] = []
                 if not self._listed and listing.position.era and self._news is not None:
                     # This router may have started just after a loss, so others know more.
                     held = self._news.ask_held(self)
                 # A router that read further may have told this one meanwhile.
-                if self._era.note(listing.position.era) and listing.position >= self.position:
+                if self._era.accept(listing.position.era) and listing.position >= self.position:
                     self._adopt(listing.records, listing.position, STORE, held)
                 return None
             case Err(fault):
@@ -248,7 +248,7 @@
         loss = self._records.replace(records, position, held)
         if loss is not None:
             self._note_loss(loss, source)
-        self._taker.take_listing(self._records.believed, source)
+        self._taker.apply_listing(self._records.believed, source)
         self._tell()
 
     def _read(self, position: FeedPosition) -> Fault | None:
@@ -257,7 +257,7 @@
         self._due_at = self._clock.now() + wait
         match self._feed.read(position.offset, self._due_at):
             case Ok(batch):
-                if not self._era.note(batch.position.era):
+                if not self._era.accept(batch.position.era):
                     return None
                 if batch.position.era > position.era or batch.position < position:
                     # The store fell back; what it says from here on is listed anew.
@@ -285,13 +285,13 @@
             return
         changes = self._records.read_on(records, batch.position)
         if changes:
-            self._taker.take_records(changes, source)
+            self._taker.apply_records(changes, source)
         self._tell()
 
     def _end_held(self) -> None:
         """Believe the store in what nobody wrote again for long enough."""
         if self.answering and (changes := self._records.expire()):
-            self._taker.take_records(changes)
+            self._taker.apply_records(changes)
 
     def _note_loss(self, loss: Loss, source: str) -> None:
         emit(
@@ -327,7 +327,7 @@
             )
             self._failures = 0
             self._records.postpone()
-            self._taker.note_regained()
+            self._taker.on_store_recovered()
             self._tell_store()
         self._answered_at = self._clock.now()
 
@@ -342,7 +342,7 @@
                 waited=self._seconds_since(self._asked_at),
                 silent=self._seconds_since(self._answered_at),
             )
-            self._taker.note_lost()
+            self._taker.on_store_lost()
             self._tell_store()
         pause = min(LONGEST_PAUSE, FIRST_PAUSE * 2.0 ** min(self._failures, 8))
         # Routers that lost the store together must not come back together.
--- a/packages/loomyard-router/src/loomyard_router/feeds/feed_position.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/feed_position.py
@@ -25,11 +25,11 @@
         return self.offset if self.offset < 0 else (self.era << OFFSET_BITS) + self.offset
 
 
-NOWHERE = FeedPosition()
+NO_POSITION = FeedPosition()
 
 
 def read_position(number: int) -> FeedPosition:
     """Make the position that a number stands for."""
     if number < 0:
-        return NOWHERE
+        return NO_POSITION
     return FeedPosition(era=number >> OFFSET_BITS, offset=number & ((1 << OFFSET_BITS) - 1))
--- a/packages/loomyard-router/src/loomyard_router/feeds/feed_state.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/feed_state.py
@@ -19,5 +19,5 @@
     name: str
     position: FeedPosition
     announced: FeedPosition
-    silent: float
+    silent_seconds: float
     dropped: int = 0
--- a/packages/loomyard-router/src/loomyard_router/feeds/record_taker.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/record_consumer.py
@@ -12,20 +12,20 @@
 PEER = "peer"
 
 
-class RecordTaker(Protocol):
+class RecordConsumer(Protocol):
     """Take over what a feed says."""
 
-    def take_listing(self, records: list[KeyedRecord], source: str) -> None:
+    def apply_listing(self, records: list[KeyedRecord], source: str) -> None:
         """Take the newest record of each key; a key that is not listed is gone.
 
         ``source`` tells whether the store or another router says so.
         """
 
-    def take_records(self, records: list[KeyedRecord], source: str = STORE) -> None:
+    def apply_records(self, records: list[KeyedRecord], source: str = STORE) -> None:
         """Take changes in order; ``source`` as for a listing."""
 
-    def note_lost(self) -> None:
+    def on_store_lost(self) -> None:
         """Take in that the store does not answer."""
 
-    def note_regained(self) -> None:
+    def on_store_recovered(self) -> None:
         """Take in that the store answers again."""
--- a/packages/loomyard-router/src/loomyard_router/feeds/loss_policy.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/rollback_policy.py
@@ -8,29 +8,29 @@
     from loomyard_router.feeds.keyed_record import KeyedRecord
 
 
-class LossPolicy(Protocol):
+class RollbackPolicy(Protocol):
     """Choose between what was believed before a loss and what the store says after it.
 
     Both are partly right: the copy lacks the last seconds, the router what came after. What was
     believed stands until it is written again, or for as long as that may take.
     """
 
-    def outlasts(self, believed: KeyedRecord, said: KeyedRecord | None, *, copied: bool) -> bool:
+    def retains(self, believed: KeyedRecord, said: KeyedRecord | None, *, copied: bool) -> bool:
         """Tell whether a belief stands against what the store says of its key.
 
         ``believed`` without a value says that the key was dropped. ``said`` is ``None`` where a
         listing lacks the key. ``copied`` tells that it is known from before the loss.
         """
 
-    def seconds(self, believed: KeyedRecord) -> float:
+    def retention_seconds(self, believed: KeyedRecord) -> float:
         """Return how long a belief stands that is not written again."""
 
 
 class StoreIsRight:
     """Believe the store alone."""
 
-    def outlasts(self, believed: KeyedRecord, said: KeyedRecord | None, *, copied: bool) -> bool:
+    def retains(self, believed: KeyedRecord, said: KeyedRecord | None, *, copied: bool) -> bool:
         return False
 
-    def seconds(self, believed: KeyedRecord) -> float:
+    def retention_seconds(self, believed: KeyedRecord) -> float:
         return 0.0
--- a/packages/loomyard-router/src/loomyard_router/feeds/store_era.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/store_era.py
@@ -15,11 +15,11 @@
     newest: int = 0
     dropped: int = 0
 
-    def hear(self, era: int) -> None:
+    def observe(self, era: int) -> None:
         """Take in an era that somebody knows of."""
         self.newest = max(self.newest, era)
 
-    def note(self, era: int) -> bool:
+    def accept(self, era: int) -> bool:
         """Take in the era of an answer; false where a later one is known."""
         if era < self.newest:
             self.dropped += 1
--- a/packages/loomyard-router/src/loomyard_router/feeds/unreadable_entries.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/unreadable_entries.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from loomyard_router.feeds.feed_position import FeedPosition
-    from loomyard_router.feeds.unreadable_entry import Unreadable, UnreadableEntry
+    from loomyard_router.feeds.unreadable_entry import UnreadableEntry, UnreadableReason
 
 logger = logging.getLogger(__name__)
 
@@ -23,10 +23,10 @@
     """One log line for each record, however often it is listed, and a counter by reason."""
 
     def __init__(self) -> None:
-        self.counts: Counter[tuple[str, Unreadable]] = Counter()
+        self.counts: Counter[tuple[str, UnreadableReason]] = Counter()
         self._told: OrderedDict[tuple[str, str], FeedPosition] = OrderedDict()
 
-    def note(self, feed: str, key: str, position: FeedPosition, entry: UnreadableEntry) -> None:
+    def report(self, feed: str, key: str, position: FeedPosition, entry: UnreadableEntry) -> None:
         """Take in that the record of a key at a position can't be read."""
         if self._told.get((feed, key)) == position:
             return
--- a/packages/loomyard-router/src/loomyard_router/feeds/unreadable_entry.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/unreadable_entry.py
@@ -6,10 +6,10 @@
 
 from attrs import frozen
 
-MOST_DETAIL = 200
+MAX_DETAIL_CHARS = 200
 
 
-class Unreadable(Enum):
+class UnreadableReason(Enum):
     """What is wrong with an entry, as a label of a metric."""
 
     KEY = "key"
@@ -21,10 +21,10 @@
 class UnreadableEntry:
     """A reason and, for people, its detail."""
 
-    reason: Unreadable
+    reason: UnreadableReason
     detail: str
 
 
-def make_unreadable(reason: Unreadable, detail: object) -> UnreadableEntry:
+def make_unreadable_entry(reason: UnreadableReason, detail: object) -> UnreadableEntry:
     """Make the word on an entry, its detail bounded: an entry may be as long as a store takes."""
-    return UnreadableEntry(reason, str(detail)[:MOST_DETAIL])
+    return UnreadableEntry(reason, str(detail)[:MAX_DETAIL_CHARS])
--- a/packages/loomyard-router/src/loomyard_router/fleet_parts.py
+++ b/packages/loomyard-router/src/loomyard_router/fleet_parts.py
@@ -11,7 +11,7 @@
 from loomyard_router.members.membership import Member, Membership, SoleMembership
 from loomyard_router.members.swim import SwimMembership, SwimTimes
 from loomyard_router.members.table_sync import TableSync
-from loomyard_router.members.vm_watch import VmWatch
+from loomyard_router.members.vm_list_poller import VmListPoller
 from loomyard_router.peers.fleet_secret import make_fleet_secret
 from loomyard_router.peers.links import PeerLinks
 from loomyard_router.peers.no_peers import NoPeers
@@ -35,7 +35,7 @@
     members: Membership
     peers: PeerLinks
     traffic: TrafficCounters
-    vm_watch: VmWatch | None = None
+    vm_watch: VmListPoller | None = None
     table_sync: TableSync | None = None
 
 
@@ -44,7 +44,7 @@
     traffic = TrafficCounters()
     # Starts of one name have to grow; there is no disk to count them on.
     incarnation = int(clock.wall() * MILLISECONDS)
-    vm_watch = VmWatch(vm_list, clock) if vm_list else None
+    vm_watch = VmListPoller(vm_list, clock) if vm_list else None
     if not settings.peer_listen:
         sole = SoleMembership(_own_member(settings, incarnation, ""))
         return FleetParts(members=sole, peers=NoPeers(), traffic=traffic, vm_watch=vm_watch)
@@ -73,7 +73,7 @@
         tls=tls,
     )
     if vm_watch is not None:
-        vm_watch.subscribe(members.take_vms)
+        vm_watch.subscribe(members.apply_vm_list)
     return FleetParts(
         members=members,
         peers=peers,
--- a/packages/loomyard-router/src/loomyard_router/members/digests.py
+++ b/packages/loomyard-router/src/loomyard_router/members/digests.py
@@ -13,7 +13,7 @@
 DIGEST_BYTES = 4
 
 
-def set_digest(entries: Iterable[list[Any]]) -> int:
+def unordered_digest(entries: Iterable[list[Any]]) -> int:
     """Return the exclusive or of the hashes of entries.
 
     A checksum would not do: those of similar names cancel each other out.
--- a/packages/loomyard-router/src/loomyard_router/members/swim.py
+++ b/packages/loomyard-router/src/loomyard_router/members/swim.py
@@ -23,7 +23,7 @@
 from loomyard_router.members.listeners import Listeners
 from loomyard_router.members.membership import Member, MemberState
 from loomyard_router.members.messages import Datagram, DatagramKind, Liveness, MemberUpdate
-from loomyard_router.members.pause import PauseWatch
+from loomyard_router.members.pause_detector import PauseDetector
 from loomyard_router.members.prober import Prober
 from loomyard_router.members.seeds import Seeds
 from loomyard_router.members.table import MemberTable
@@ -107,7 +107,7 @@
         )
         now = clock.now()
         self._next_period = now
-        self._pause = PauseWatch(slack=self._times.tick, bound=self._times.pause_bound, due=now)
+        self._pause = PauseDetector(slack=self._times.tick, bound=self._times.pause_bound, due=now)
         self._agreement = Agreement()
         self._changed = Listeners()
         self._paused = Listeners()
@@ -166,7 +166,7 @@
             self._prober.tell()
         self._datagrams.stop()
 
-    def take_vms(self, vms: list[Vm]) -> None:
+    def apply_vm_list(self, vms: list[Vm]) -> None:
         """Take over what the VM list says."""
         self._seeds.vms = tuple(vms)
         self._table.mark_leaving(self._seeds.leaving)
@@ -250,7 +250,7 @@
 
     def _note_silence(self, now: float) -> None:
         """Take in that this process was slow or stood still, and so could hear nobody."""
-        late, paused = self._pause.tick(now)
+        late, paused = self._pause.check(now)
         if late:
             self._prober.postpone(late)
             self._beliefs.postpone(late)
--- a/packages/loomyard-router/src/loomyard_router/members/table.py
+++ b/packages/loomyard-router/src/loomyard_router/members/table.py
@@ -6,7 +6,7 @@
 
 from attrs import define, field
 
-from loomyard_router.members.digests import set_digest
+from loomyard_router.members.digests import unordered_digest
 from loomyard_router.members.membership import Member, MemberState
 from loomyard_router.members.messages import Liveness, MemberUpdate
 
@@ -43,7 +43,7 @@
         """Return a sum over what is believed of live routers, equal where tables agree."""
         if self._digest is None:
             updates = [record.update for record in self.live()]
-            self._digest = set_digest([u.name, *u.version, u.leaving] for u in updates)
+            self._digest = unordered_digest([u.name, *u.version, u.leaving] for u in updates)
         return self._digest
 
     def live(self) -> Iterable[MemberRecord]:
--- a/packages/loomyard-router/src/loomyard_router/members/topics.py
+++ b/packages/loomyard-router/src/loomyard_router/members/topics.py
@@ -8,7 +8,7 @@
 from attrs import define, field
 
 from loomyard.clock import Clock
-from loomyard_router.members.digests import set_digest
+from loomyard_router.members.digests import unordered_digest
 from loomyard_router.members.messages import Item
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
     def digest(self) -> int:
         """Return a sum over the items, equal where they agree."""
         if self._digest is None:
-            self._digest = set_digest(
+            self._digest = unordered_digest(
                 [topic, key, held.value] for (topic, key), held in self._held.items()
             )
         return self._digest
--- a/packages/loomyard-router/src/loomyard_router/members/vm_watch.py
+++ b/packages/loomyard-router/src/loomyard_router/members/vm_list_poller.py
@@ -21,7 +21,7 @@
 INTERVAL = 3.0
 
 
-class VmWatch:
+class VmListPoller:
     """Give the VMs to listeners after each reading; one that failed changes nothing."""
 
     def __init__(self, vm_list: VmList, clock: Clock) -> None:
--- a/packages/loomyard-router/src/loomyard_router/metrics/exposition.py
+++ b/packages/loomyard-router/src/loomyard_router/metrics/exposition.py
@@ -131,7 +131,7 @@
         for state in self._feeds():
             read.add_metric((state.name,), state.position.offset)
             announced.add_metric((state.name,), state.announced.offset)
-            silent.add_metric((state.name,), state.silent)
+            silent.add_metric((state.name,), state.silent_seconds)
             era.add_metric((state.name,), state.position.era)
             dropped.add_metric((state.name,), state.dropped)
         yield from (read, announced, silent, era, dropped)
--- a/packages/loomyard-router/src/loomyard_router/parts.py
+++ b/packages/loomyard-router/src/loomyard_router/parts.py
@@ -14,7 +14,7 @@
 from loomyard_router.configuration.follower import ConfigFollower
 from loomyard_router.members.membership import Membership
 from loomyard_router.members.table_sync import TableSync
-from loomyard_router.members.vm_watch import VmWatch
+from loomyard_router.members.vm_list_poller import VmListPoller
 from loomyard_router.orders.order_keeper import OrderKeeper
 from loomyard_router.peers.links import PeerLinks
 from loomyard_router.peers.traffic import TrafficCounters
@@ -47,6 +47,6 @@
     claims: ClaimKeeper
     journal: Journal
     traffic: TrafficCounters = field(factory=TrafficCounters)
-    vm_watch: VmWatch | None = None
+    vm_watch: VmListPoller | None = None
     table_sync: TableSync | None = None
     orders: OrderKeeper | None = None
--- a/packages/loomyard-router/src/loomyard_router/peers/websocket_links.py
+++ b/packages/loomyard-router/src/loomyard_router/peers/websocket_links.py
@@ -198,7 +198,7 @@
                 self.traffic.refused("handshake")
                 channel.close_socket()
                 return None
-        limit_silence(channel.socket)
+        set_tcp_timeouts(channel.socket)
         peer = _member_of(agreement.peer)
         link = PeerLink(
             channel=channel,
@@ -260,7 +260,7 @@
     )
 
 
-def limit_silence(connection: socket.socket) -> None:
+def set_tcp_timeouts(connection: socket.socket) -> None:
     """Let the kernel end a connection whose peer fell silent, and send at once."""
     disable_delay(connection)
     end_if_silent(connection)
--- a/packages/loomyard-router/src/loomyard_router/platform/documents.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/documents.py
@@ -8,7 +8,11 @@
 from result import Err, Ok, Result
 
 from loomyard_router.announced.announced_target import AnnouncedTarget
-from loomyard_router.feeds.unreadable_entry import Unreadable, UnreadableEntry, make_unreadable
+from loomyard_router.feeds.unreadable_entry import (
+    UnreadableEntry,
+    UnreadableReason,
+    make_unreadable_entry,
+)
 from loomyard_router.platform import names
 from loomyard_router.platform.entries import DRAINING, ConfigurationEntry, TargetEntry
 from loomyard_router.platform.entry_fields import is_name, read_fields
@@ -45,7 +49,7 @@
 def decode_target(key: str, data: bytes) -> Result[AnnouncedTarget, UnreadableEntry]:
     """Decode the announcement of a target; the key is its id."""
     if not is_name(key):
-        return Err(make_unreadable(Unreadable.KEY, f"no id: {key!r}"))
+        return Err(make_unreadable_entry(UnreadableReason.KEY, f"no id: {key!r}"))
     return _read(TargetEntry, data).map(lambda entry: _make_target(key, entry))
 
 
@@ -60,11 +64,13 @@
     try:
         document = json.loads(data)
     except (ValueError, RecursionError) as error:
-        return Err(make_unreadable(Unreadable.SYNTAX, f"{type(error).__name__}: {error}"))
+        return Err(
+            make_unreadable_entry(UnreadableReason.SYNTAX, f"{type(error).__name__}: {error}")
+        )
     try:
         return Ok(read_fields(kind, document))
     except (ValueError, TypeError) as error:
-        return Err(make_unreadable(Unreadable.FIELDS, error))
+        return Err(make_unreadable_entry(UnreadableReason.FIELDS, error))
 
 
 def _make_table(entry: ConfigurationEntry) -> RouteTable:
--- a/packages/loomyard-router/src/loomyard_router/platform/store_archive.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/store_archive.py
@@ -34,7 +34,7 @@
         return self._era.newest
 
     def read(self, deadline: float) -> Result[Mapping[str, bytes], Fault]:
-        return self._records.newest(deadline).map(
+        return self._records.fetch_listing(deadline).map(
             lambda listing: {
                 record.key: record.value for record in listing.records if record.value is not None
             }
--- a/packages/loomyard-router/src/loomyard_router/platform/store_calls.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/store_calls.py
@@ -98,7 +98,7 @@
         if era is None:
             # A store that tells none has one for ever.
             return Ok(StoreAnswer(status, body, self._era.newest))
-        if not self._era.note(era):
+        if not self._era.accept(era):
             return Err(unavailable(f"an answer of era {era}, which is over"))
         return Ok(StoreAnswer(status, body, era))
 
--- a/packages/loomyard-router/src/loomyard_router/platform/store_feed.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/store_feed.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from loomyard.errors import Fault, ResultCode
-from loomyard_router.feeds.feed import ANSWER_SECONDS, Batch, Listing
+from loomyard_router.feeds.feed import ANSWER_MARGIN_SECONDS, Batch, Listing
 from loomyard_router.feeds.feed_position import FeedPosition
 from loomyard_router.feeds.keyed_record import KeyedRecord
 from loomyard_router.platform.store_calls import HTTP_OK, StoreAnswer, StoreCalls, unavailable
@@ -37,7 +37,7 @@
     def name(self) -> str:
         return self._topic
 
-    def newest(self, deadline: float) -> Result[Listing, Fault]:
+    def fetch_listing(self, deadline: float) -> Result[Listing, Fault]:
         records: list[KeyedRecord] = []
         first_end: FeedPosition | None = None
         after: str | None = None
@@ -65,7 +65,7 @@
     def read(self, offset: int, wait_until: float) -> Result[Batch, Fault]:
         wait = max(0, int((wait_until - self._clock.now()) * MILLISECONDS))
         query = {"topic": self._topic, "part": 0, "from": offset, "wait_ms": wait}
-        answer = self._get("/log-read", query, wait_until + ANSWER_SECONDS)
+        answer = self._get("/log-read", query, wait_until + ANSWER_MARGIN_SECONDS)
         if answer.is_err():
             return Err(answer.unwrap_err())
         return _decode_batch(answer.unwrap().body, offset, answer.unwrap().era)
--- a/packages/loomyard-router/src/loomyard_router/routed_application.py
+++ b/packages/loomyard-router/src/loomyard_router/routed_application.py
@@ -31,10 +31,10 @@
 from loomyard_router.crashes.crash_memory import CrashMemory
 from loomyard_router.crashes.life_probe import LifeProbe
 from loomyard_router.crashes.target_check import TargetCheck
+from loomyard_router.feeds.fan_out_consumer import FanOutConsumer
 from loomyard_router.feeds.feed import Feed
 from loomyard_router.feeds.feed_exchange import FeedExchange
 from loomyard_router.feeds.feed_follower import FeedFollower
-from loomyard_router.feeds.joint_taker import JointTaker
 from loomyard_router.feeds.store_era import StoreEra
 from loomyard_router.feeds.unreadable_entries import UnreadableEntries
 from loomyard_router.feeds.unreadable_entry import UnreadableEntry
@@ -110,7 +110,7 @@
         self._unreadable = UnreadableEntries()
         self._tables = FeedFollower(
             platform.tables,
-            JointTaker(
+            FanOutConsumer(
                 (
                     self._emptied,
                     TableFeed(self.holder, platform.table_key, self._unreadable),
--- a/packages/loomyard-router/src/loomyard_router/routes/table_feed.py
+++ b/packages/loomyard-router/src/loomyard_router/routes/table_feed.py
@@ -7,7 +7,7 @@
 from attrs import frozen
 from result import Err
 
-from loomyard_router.feeds.record_taker import STORE
+from loomyard_router.feeds.record_consumer import STORE
 from loomyard_router.feeds.unreadable_entries import UnreadableEntries
 from loomyard_router.routes.table_holder import TableHolder
 
@@ -25,16 +25,16 @@
     key: str
     unreadable: UnreadableEntries
 
-    def take_listing(self, records: list[KeyedRecord], source: str) -> None:
+    def apply_listing(self, records: list[KeyedRecord], source: str) -> None:
         self._offer(records, source)
 
-    def take_records(self, records: list[KeyedRecord], source: str = STORE) -> None:
+    def apply_records(self, records: list[KeyedRecord], source: str = STORE) -> None:
         self._offer(records, source)
 
-    def note_lost(self) -> None:
+    def on_store_lost(self) -> None:
         pass
 
-    def note_regained(self) -> None:
+    def on_store_recovered(self) -> None:
         pass
 
     def _offer(self, records: list[KeyedRecord], source: str) -> None:
@@ -44,6 +44,6 @@
                 continue
             match self.holder.offer(record.value, source):
                 case Err(entry):
-                    self.unreadable.note(FEED, record.key, record.position, entry)
+                    self.unreadable.report(FEED, record.key, record.position, entry)
                 case _:
                     return
--- a/packages/loomyard-standins/src/loomyard_standins/memory_store.py
+++ b/packages/loomyard-standins/src/loomyard_standins/memory_store.py
@@ -11,7 +11,7 @@
 
 from loomyard.errors import Fault, ResultCode
 from loomyard.util.waiting import wait_any
-from loomyard_router.feeds.feed import ANSWER_SECONDS, Batch, Listing
+from loomyard_router.feeds.feed import ANSWER_MARGIN_SECONDS, Batch, Listing
 from loomyard_router.feeds.feed_position import FeedPosition
 from loomyard_router.feeds.keyed_record import KeyedRecord
 
@@ -116,7 +116,7 @@
     def name(self) -> str:
         return self._store.name
 
-    def newest(self, deadline: float) -> Result[Listing, Fault]:
+    def fetch_listing(self, deadline: float) -> Result[Listing, Fault]:
         self.calls += 1
         outage = self._store.outage(self._router)
         if outage is not None:
@@ -129,14 +129,14 @@
         store, clock = self._store, self._store.clock
         outage = store.outage(self._router)
         if outage is not None:
-            return self._fail(outage, wait_until + ANSWER_SECONDS)
+            return self._fail(outage, wait_until + ANSWER_MARGIN_SECONDS)
         connections = store.connections
         while not store.since(offset) and clock.now() < wait_until:
             wait_any([store.moved], wait_until, clock)
             if store.outage(self._router) is Outage.RESET:
                 return self._fail(Outage.RESET, clock.now())
         if store.outage(self._router) is not None or store.connections != connections:
-            return self._fail(Outage.SILENT, wait_until + ANSWER_SECONDS)
+            return self._fail(Outage.SILENT, wait_until + ANSWER_MARGIN_SECONDS)
         if offset > store.end or offset < store.first:
             return Err(Fault(code=ResultCode.LOG_TRIMMED, detail="no such records"))
         records = store.since(offset)
--- a/tests/test_loomyard/test_tcp.py
+++ b/tests/test_loomyard/test_tcp.py
@@ -15,7 +15,7 @@
     PROBE_EVERY_SECONDS,
     make_http_client,
 )
-from loomyard_router.peers.websocket_links import limit_silence
+from loomyard_router.peers.websocket_links import set_tcp_timeouts
 from loomyard_router.routed.deadline_watch import DeadlineWatch
 from loomyard_router.routed.target_connection import connect
 
@@ -68,7 +68,7 @@
     def test_links_between_routers(self) -> None:
         sock = socket.create_connection(("127.0.0.1", self.server.server_port))
         self.addCleanup(sock.close)
-        limit_silence(sock)
+        set_tcp_timeouts(sock)
         self.assert_ends(sock)
 
 
--- a/tests/test_loomyard_router/test_announced/test_emptied_data_centres.py
+++ b/tests/test_loomyard_router/test_announced/test_emptied_data_centres.py
@@ -43,40 +43,40 @@
     def test_an_order_stands_until_its_record_goes_whatever_it_holds(self) -> None:
         for value in (b"{}", b"", b"null", b"[[[", b"\xff"):
             with self.subTest(value=value):
-                self.emptied.take_records([record(1, value=value or b"0")])
+                self.emptied.apply_records([record(1, value=value or b"0")])
                 self.assertEqual(["t-south"], self.usable())
-                self.emptied.take_records([record(2, value=None)])
+                self.emptied.apply_records([record(2, value=None)])
                 self.assertEqual(2, len(self.usable()))
 
     def test_the_last_of_several_orders_of_one_read_counts(self) -> None:
-        self.emptied.take_records([record(1), record(2, value=None), record(3)])
+        self.emptied.apply_records([record(1), record(2, value=None), record(3)])
         self.assertEqual(["t-south"], self.usable())
-        self.emptied.take_records([record(4, value=None), record(5), record(6, value=None)])
+        self.emptied.apply_records([record(4, value=None), record(5), record(6, value=None)])
         self.assertEqual(2, len(self.usable()))
 
     def test_a_listing_without_the_order_takes_the_data_centre_back(self) -> None:
-        self.emptied.take_listing([record(1)], "store")
-        self.emptied.take_records([record(2, key="config", value=b"x")])
+        self.emptied.apply_listing([record(1)], "store")
+        self.emptied.apply_records([record(2, key="config", value=b"x")])
         self.assertEqual(["t-south"], self.usable())
-        self.emptied.take_listing([record(2, key="config", value=b"x")], "peer")
+        self.emptied.apply_listing([record(2, key="config", value=b"x")], "peer")
         self.assertEqual(2, len(self.usable()))
 
     def test_a_place_that_was_granted_before_is_not_used(self) -> None:
         self.assertTrue(self.board.takes_work(self.targets[0]))
-        self.emptied.take_records([record(1)])
+        self.emptied.apply_records([record(1)])
         self.assertFalse(self.board.takes_work(self.targets[0]))
 
     def test_targets_that_lapsed_there_or_start_there_get_nothing(self) -> None:
         self.board.note_store_lost()
         self.board.apply([], ["t-north"])
         self.assertEqual(2, len(self.usable()))
-        self.emptied.take_records([record(1)])
+        self.emptied.apply_records([record(1)])
         new = AnnouncedTarget(id="t-new", service="s", address="127.0.0.1:2", data_centre="north")
         self.board.apply([new], [])
         self.assertEqual(["t-south"], self.usable())
 
     def test_where_nobody_else_is_left_nobody_gets_work(self) -> None:
-        self.emptied.take_records([record(1), record(2, key="evacuate/south")])
+        self.emptied.apply_records([record(1), record(2, key="evacuate/south")])
         self.assertEqual([], self.usable())
 
 
--- a/tests/test_loomyard_router/test_feeds/eras_fleet.py
+++ b/tests/test_loomyard_router/test_feeds/eras_fleet.py
@@ -13,17 +13,21 @@
 from loomyard_router.announced.target_board import TargetBoard
 from loomyard_router.announced.target_feed import TargetFeed
 from loomyard_router.announced.target_losses import TargetLosses
-from loomyard_router.feeds.joint_taker import JointTaker
+from loomyard_router.feeds.fan_out_consumer import FanOutConsumer
 from loomyard_router.feeds.unreadable_entries import UnreadableEntries
-from loomyard_router.feeds.unreadable_entry import Unreadable, UnreadableEntry, make_unreadable
+from loomyard_router.feeds.unreadable_entry import (
+    UnreadableEntry,
+    UnreadableReason,
+    make_unreadable_entry,
+)
 from loomyard_router.routes.route_table import RouteTable, make_route_table
 from loomyard_router.routes.table_feed import TableFeed
 from loomyard_router.routes.table_holder import TableHolder
 from test_loomyard_router.test_feeds.feed_fleet import FeedFleet
 
 if TYPE_CHECKING:
-    from loomyard_router.feeds.loss_policy import LossPolicy
-    from loomyard_router.feeds.record_taker import RecordTaker
+    from loomyard_router.feeds.record_consumer import RecordConsumer
+    from loomyard_router.feeds.rollback_policy import RollbackPolicy
 
 CONFIGURATION, TARGETS = "configuration", "targets"
 KEY = "config"
@@ -35,7 +39,7 @@
 
 def decode_table(data: bytes) -> Result[RouteTable, UnreadableEntry]:
     if not data.isdigit():
-        return Err(make_unreadable(Unreadable.SYNTAX, data))
+        return Err(make_unreadable_entry(UnreadableReason.SYNTAX, data))
     return Ok(make_route_table(version=int(data), routes=[], services=[], accounts=None))
 
 
@@ -85,17 +89,17 @@
         for key in ("north-0", "north-1", "south-0", "south-1"):
             self.stores[TARGETS].publish(key, READY)
 
-    def make_taker(self, feed: str) -> RecordTaker:
+    def make_taker(self, feed: str) -> RecordConsumer:
         if feed == CONFIGURATION:
             board = TargetBoard(self.clock)
             emptied = EmptiedDataCentres(find_emptied)
             emptied.subscribe(board.note_emptied)
             self._newest = Holding(TableHolder(decode_table), emptied, board)
             tables = TableFeed(self._newest.holder, KEY, UnreadableEntries())
-            return JointTaker((emptied, tables))
+            return FanOutConsumer((emptied, tables))
         return TargetFeed(self._newest.board, decode_target, UnreadableEntries())
 
-    def make_losses(self, feed: str) -> LossPolicy:
+    def make_losses(self, feed: str) -> RollbackPolicy:
         if feed == CONFIGURATION:
             return OrderLosses(find_emptied)
         return TargetLosses(decode_target)
--- a/tests/test_loomyard_router/test_feeds/feed_case.py
+++ b/tests/test_loomyard_router/test_feeds/feed_case.py
@@ -11,7 +11,7 @@
 from loomyard.errors import Fault, ResultCode
 from loomyard_router.feeds.feed import Batch, Listing
 from loomyard_router.feeds.keyed_record import KeyedRecord
-from loomyard_router.feeds.record_taker import STORE
+from loomyard_router.feeds.record_consumer import STORE
 from loomyard_router.members.membership import Member, SoleMembership
 from loomyard_standins.stepped_clock import TURNS
 
@@ -32,7 +32,7 @@
     waits: list[float] = field(factory=list)
     name: str = "feed"
 
-    def newest(self, deadline: float) -> Result[Listing, Fault]:
+    def fetch_listing(self, deadline: float) -> Result[Listing, Fault]:
         return self.listings.pop(0)
 
     def read(self, offset: int, wait_until: float) -> Result[Batch, Fault]:
@@ -47,16 +47,16 @@
 
     told: list[object] = field(factory=list)
 
-    def take_listing(self, records: list[KeyedRecord], source: str) -> None:
+    def apply_listing(self, records: list[KeyedRecord], source: str) -> None:
         self.told.append((source, [record.key for record in records]))
 
-    def take_records(self, records: list[KeyedRecord], source: str = STORE) -> None:
+    def apply_records(self, records: list[KeyedRecord], source: str = STORE) -> None:
         self.told.append([record.key for record in records])
 
-    def note_lost(self) -> None:
+    def on_store_lost(self) -> None:
         self.told.append("lost")
 
-    def note_regained(self) -> None:
+    def on_store_recovered(self) -> None:
         self.told.append("regained")
 
 
--- a/tests/test_loomyard_router/test_feeds/feed_fleet.py
+++ b/tests/test_loomyard_router/test_feeds/feed_fleet.py
@@ -11,8 +11,8 @@
 from loomyard.clock import Clock
 from loomyard_router.feeds.feed_exchange import FeedExchange
 from loomyard_router.feeds.feed_follower import FeedFollower
-from loomyard_router.feeds.loss_policy import LossPolicy, StoreIsRight
-from loomyard_router.feeds.record_taker import STORE, RecordTaker
+from loomyard_router.feeds.record_consumer import STORE, RecordConsumer
+from loomyard_router.feeds.rollback_policy import RollbackPolicy, StoreIsRight
 from loomyard_router.members.datagram_seal import DatagramSeal
 from loomyard_router.members.membership import Member
 from loomyard_router.members.swim import SwimMembership
@@ -56,18 +56,18 @@
     clock: Clock
     at: dict[bytes, float] = field(factory=dict)
 
-    def take_listing(self, records: list[KeyedRecord], source: str) -> None:
-        self.take_records(records)
+    def apply_listing(self, records: list[KeyedRecord], source: str) -> None:
+        self.apply_records(records)
 
-    def take_records(self, records: list[KeyedRecord], source: str = STORE) -> None:
+    def apply_records(self, records: list[KeyedRecord], source: str = STORE) -> None:
         for record in records:
             if record.value is not None:
                 self.at.setdefault(record.value, self.clock.now())
 
-    def note_lost(self) -> None:
+    def on_store_lost(self) -> None:
         pass
 
-    def note_regained(self) -> None:
+    def on_store_recovered(self) -> None:
         pass
 
 
@@ -79,7 +79,7 @@
     exchange: FeedExchange
     followers: dict[str, FeedFollower]
     feeds: dict[str, MemoryStoreFeed]
-    takers: dict[str, RecordTaker]
+    takers: dict[str, RecordConsumer]
 
     def start(self) -> None:
         self.members.start()
@@ -130,11 +130,11 @@
         for store in self.stores.values():
             store.publish("key", b"first")
 
-    def make_taker(self, feed: str) -> RecordTaker:
+    def make_taker(self, feed: str) -> RecordConsumer:
         """Make what takes the records of a feed at one router."""
         return Arrivals(self.clock)
 
-    def make_losses(self, feed: str) -> LossPolicy:
+    def make_losses(self, feed: str) -> RollbackPolicy:
         """Make the policy of a feed for a store that fell back."""
         return StoreIsRight()
 
--- a/tests/test_loomyard_router/test_feeds/test_feed_exchange.py
+++ b/tests/test_loomyard_router/test_feeds/test_feed_exchange.py
@@ -14,7 +14,7 @@
 from loomyard_router.feeds.feed_follower import FeedFollower
 from loomyard_router.feeds.feed_position import FeedPosition
 from loomyard_router.feeds.feed_readers import LEAST_READERS
-from loomyard_router.feeds.record_taker import PEER
+from loomyard_router.feeds.record_consumer import PEER
 from loomyard_router.members.membership import Member
 from loomyard_standins.fake_clock import FakeClock
 from loomyard_standins.memory_network import MemoryNetwork
--- a/tests/test_loomyard_router/test_feeds/test_feed_sight.py
+++ b/tests/test_loomyard_router/test_feeds/test_feed_sight.py
@@ -107,7 +107,8 @@
         self.assertEqual(1, emit.call_args.kwargs["in_vain"])
         (state,) = exchange.states()
         self.assertEqual(
-            (2, 2, 2 * READ_SECONDS), (state.position.offset, state.announced.offset, state.silent)
+            (2, 2, 2 * READ_SECONDS),
+            (state.position.offset, state.announced.offset, state.silent_seconds),
         )
 
     def test_metrics_show_a_feed_that_is_behind_and_silent(self) -> None:
--- a/tests/test_loomyard_router/test_members/test_swim.py
+++ b/tests/test_loomyard_router/test_members/test_swim.py
@@ -296,7 +296,7 @@
         fleet.run(SPREAD_WITHIN)
         self.assertEqual(loner.live(), (loner.own,))
         vm = Vm(name="r1", data_centre="a", address="r1:1", state=VmState.LEAVING)
-        loner.take_vms([vm])
+        loner.apply_vm_list([vm])
         fleet.run(SPREAD_WITHIN)
         self.assertEqual([member.name for member in loner.live()], ["r0", "r5"])
         self.assertEqual(loner.find("r1").state, MemberState.LEAVING)
--- a/tests/test_loomyard_router/test_platform/test_entries_of_others.py
+++ b/tests/test_loomyard_router/test_platform/test_entries_of_others.py
@@ -18,7 +18,7 @@
 from loomyard_router.announced.target_feed import TargetFeed
 from loomyard_router.feeds.keyed_record import KeyedRecord
 from loomyard_router.feeds.unreadable_entries import UnreadableEntries
-from loomyard_router.feeds.unreadable_entry import MOST_DETAIL, Unreadable
+from loomyard_router.feeds.unreadable_entry import MAX_DETAIL_CHARS, UnreadableReason
 from loomyard_router.platform.documents import decode_configuration, decode_target
 from loomyard_router.platform.store_feed import _decode_batch
 from loomyard_router.routes.table_feed import TableFeed
@@ -82,7 +82,7 @@
         self.board = TargetBoard(FakeClock())
         self.unreadable = UnreadableEntries()
         self.feed = TargetFeed(self.board, decode_target, self.unreadable)
-        self.feed.take_listing([record(n, f"t{n}", json.dumps(GOOD).encode()) for n in (0, 1)], "")
+        self.feed.apply_listing([record(n, f"t{n}", json.dumps(GOOD).encode()) for n in (0, 1)], "")
 
     def usable(self) -> list[str]:
         return [target.id for target in self.board.usable("one")]
@@ -96,38 +96,38 @@
                         continue
                     offset += 1
                     bad = json.dumps(GOOD | {field: value}).encode()
-                    self.feed.take_records([record(offset, "t-bad", bad)])
+                    self.feed.apply_records([record(offset, "t-bad", bad)])
                     self.assertEqual(["t0", "t1"], self.usable())
 
     def test_a_key_that_is_no_id_names_no_target(self) -> None:
         for key in KEYS:
-            self.feed.take_records([record(10, key, json.dumps(GOOD).encode())])
+            self.feed.apply_records([record(10, key, json.dumps(GOOD).encode())])
         self.assertEqual(["t0", "t1"], self.usable())
-        self.assertEqual(len(KEYS), self.unreadable.counts["targets", Unreadable.KEY])
+        self.assertEqual(len(KEYS), self.unreadable.counts["targets", UnreadableReason.KEY])
 
     def test_what_is_no_document_raises_nothing(self) -> None:
         for number, data in enumerate((b"", b"\xff\xfe", DEEP, b'{"a":' * 100_000, b"1" * 9_000)):
             self.assertTrue(decode_target("t", data).is_err())
             self.assertTrue(decode_configuration(data).is_err())
-            self.feed.take_records([record(number, "t-bad", data)])
+            self.feed.apply_records([record(number, "t-bad", data)])
         self.assertEqual(["t0", "t1"], self.usable())
 
     def test_a_target_whose_entry_turns_bad_is_out_of_use_until_it_can_be_read(self) -> None:
-        self.feed.take_records([record(2, "t0", b"{}")])
+        self.feed.apply_records([record(2, "t0", b"{}")])
         self.assertEqual(["t1"], self.usable())
-        self.feed.take_records([record(3, "t0", json.dumps(GOOD).encode())])
+        self.feed.apply_records([record(3, "t0", json.dumps(GOOD).encode())])
         self.assertEqual(["t0", "t1"], self.usable())
 
     def test_all_entries_turning_bad_in_one_listing_is_no_lapse(self) -> None:
-        self.feed.take_listing([record(2, "t0", b"{}"), record(3, "t1", b"{}")], "")
+        self.feed.apply_listing([record(2, "t0", b"{}"), record(3, "t1", b"{}")], "")
         self.assertEqual([], self.usable())
 
     def test_an_entry_that_is_listed_again_is_told_once_and_briefly(self) -> None:
         with mock.patch("loomyard_router.feeds.unreadable_entries.emit") as emit:
             for _ in range(5):
-                self.feed.take_records([record(7, "t-bad", b"[" + b"1" * 100_000)])
+                self.feed.apply_records([record(7, "t-bad", b"[" + b"1" * 100_000)])
         emit.assert_called_once()
-        self.assertLessEqual(len(emit.call_args.kwargs["detail"]), MOST_DETAIL)
+        self.assertLessEqual(len(emit.call_args.kwargs["detail"]), MAX_DETAIL_CHARS)
         self.assertEqual(1, self.unreadable.counts.total())
 
     def test_a_record_without_a_readable_key_holds_no_other_up(self) -> None:
@@ -137,7 +137,7 @@
         data += b"".join(struct.pack(">I", len(one)) + one for one in contents)
         batch = _decode_batch(data, 5, 0).unwrap()
         self.assertEqual(9, batch.position.offset)
-        self.feed.take_records(batch.records)
+        self.feed.apply_records(batch.records)
         self.assertEqual(["t0", "t1", "t2"], self.usable())
 
 
@@ -149,11 +149,11 @@
 
     def test_of_several_versions_the_last_that_can_be_read_is_in_force(self) -> None:
         versions = [document(version=1), document(version=2), b"{", document(version="3")]
-        self.feed.take_records([record(n, "config", data) for n, data in enumerate(versions)])
+        self.feed.apply_records([record(n, "config", data) for n, data in enumerate(versions)])
         self.assertEqual(2, self.holder.version)
-        self.feed.take_records([record(5, "config", document(version=4, routes=[{}]))])
+        self.feed.apply_records([record(5, "config", document(version=4, routes=[{}]))])
         self.assertEqual(2, self.holder.version)
-        self.feed.take_records([record(6, "config", document(version=5))])
+        self.feed.apply_records([record(6, "config", document(version=5))])
         self.assertEqual(5, self.holder.version)
         self.assertEqual(3, self.unreadable.counts.total())
 
@@ -192,11 +192,11 @@
     def test_targets(self) -> None:
         board = TargetBoard(FakeClock())
         feed = TargetFeed(board, decode_target, UnreadableEntries())
-        feed.take_listing([record(0, "good", json.dumps(GOOD).encode())], "")
+        feed.apply_listing([record(0, "good", json.dumps(GOOD).encode())], "")
         read = 0
         for offset in range(1, ROUNDS):
             value = self.encode(self.mutate(GOOD))
-            feed.take_records([record(offset, "mutated", value)])
+            feed.apply_records([record(offset, "mutated", value)])
             self.assertIn("good", [target.id for target in board.usable("one")])
             for target in board.known():
                 host, _, port = target.address.rpartition(":")
@@ -213,12 +213,12 @@
         good = json.loads(document())
         holder = TableHolder(decode_configuration)
         feed = TableFeed(holder, "config", UnreadableEntries())
-        feed.take_records([record(0, "config", document())])
+        feed.apply_records([record(0, "config", document())])
         adopted = 0
         for offset in range(1, ROUNDS):
             before = holder.version
             mutated = self.mutate(good | {"version": before + 1})
-            feed.take_records([record(offset, "config", self.encode(mutated))])
+            feed.apply_records([record(offset, "config", self.encode(mutated))])
             self.assertGreaterEqual(holder.version, before)
             adopted += holder.version > before
             table = holder.table
--- a/tests/test_loomyard_router/test_routed/routed_case.py
+++ b/tests/test_loomyard_router/test_routed/routed_case.py
@@ -62,7 +62,7 @@
         changed, self._changed = self._changed, Event()
         changed.set()
 
-    def newest(self, deadline: float) -> Result[Listing, Fault]:
+    def fetch_listing(self, deadline: float) -> Result[Listing, Fault]:
         if self.down:
             return self._fault()
         newest = {record.key: record for record in self.records}
