--- a/packages/loomyard-router/src/loomyard_router/admission/place_source.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/admission_gate.py
@@ -8,15 +8,17 @@
     from result import Result
 
     from loomyard.errors import Fault
-    from loomyard_router.admission.place import Place
-    from loomyard_router.announced.target_life import TargetLife
+    from loomyard_router.admission.slot_permit import SlotPermit
+    from loomyard_router.announced.target_incarnation import TargetIncarnation
     from loomyard_router.routed.routed_request import RoutedRequest
 
 
-class PlaceSource(Protocol):
+class AdmissionGate(Protocol):
     """Give places at targets."""
 
-    def take(self, request: RoutedRequest, avoided: frozenset[TargetLife]) -> Result[Place, Fault]:
+    def acquire(
+        self, request: RoutedRequest, avoided: frozenset[TargetIncarnation]
+    ) -> Result[SlotPermit, Fault]:
         """Wait for a place, at a target that is not avoided.
 
         Errors: ``NO_TARGET``, ``QUEUE_TIMEOUT``, ``CALLER_GONE``; nothing ran.
--- a/packages/loomyard-router/src/loomyard_router/admission/parts.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/assembly.py
@@ -6,21 +6,21 @@
 
 from attrs import frozen
 
+from loomyard_router.admission.account_backlog import AccountBacklog
 from loomyard_router.admission.account_usage import AccountUsage
-from loomyard_router.admission.crowd_limit import FewWhileBehind
+from loomyard_router.admission.admission_gate import AdmissionGate
+from loomyard_router.admission.backlog_limit import LagAwareLimit
+from loomyard_router.admission.ejection_tracker import EjectionTracker
 from loomyard_router.admission.fleet_gate import FleetGate
 from loomyard_router.admission.gate import Gate
 from loomyard_router.admission.place_client import PlaceClient
-from loomyard_router.admission.place_figures import PlaceFigures
 from loomyard_router.admission.place_keeper import PlaceKeeper
-from loomyard_router.admission.place_source import PlaceSource
 from loomyard_router.admission.service_gates import ServiceGates
 from loomyard_router.admission.share_ledger import ShareLedger
+from loomyard_router.admission.slot_metrics import SlotMetrics
 from loomyard_router.admission.target_choice import TargetChoice
-from loomyard_router.admission.target_health import TargetHealth
 from loomyard_router.admission.target_loads import TargetLoads
 from loomyard_router.admission.target_paces import TargetPaces
-from loomyard_router.admission.waiting_accounts import WaitingAccounts
 from loomyard_router.admission.waiting_time import RetryHint
 from loomyard_router.announced.cold_targets import ColdTargets
 
@@ -29,35 +29,35 @@
     from collections.abc import Callable
 
     from loomyard.clock import Clock
-    from loomyard_router.announced.target_board import TargetBoard
-    from loomyard_router.announced.target_life import TargetLife
+    from loomyard_router.announced.target_incarnation import TargetIncarnation
+    from loomyard_router.announced.target_registry import TargetRegistry
     from loomyard_router.members.membership import Membership
     from loomyard_router.peers.links import PeerLinks
     from loomyard_router.routes.table_holder import TableHolder
 
 
 @frozen(kw_only=True)
-class AdmissionParts:
+class AdmissionComponents:
     """The source of places, what keeps them and the shares, and what is known of targets."""
 
-    gate: PlaceSource
+    gate: AdmissionGate
     loads: TargetLoads
-    cold: ColdTargets
+    cold_targets: ColdTargets
     ledger: ShareLedger
     keeper: PlaceKeeper
     places: PlaceClient
     paces: TargetPaces
-    health: TargetHealth
-    waiting: WaitingAccounts
-    hint: RetryHint
+    health: EjectionTracker
+    backlog: AccountBacklog
+    retry_hint: RetryHint
 
     @property
-    def figures(self) -> PlaceFigures:
+    def slot_metrics(self) -> SlotMetrics:
         """Return what operators see of places."""
-        return PlaceFigures(
-            paces=self.paces.all,
-            objections=lambda: self.places.objections,
-            silent=lambda: len(self.places.silent),
+        return SlotMetrics(
+            prefill_estimates=self.paces.all,
+            refusals=lambda: self.places.objections,
+            unresponsive_owners=lambda: len(self.places.silent),
         )
 
     def start(self) -> None:
@@ -72,7 +72,7 @@
         self.keeper.stop()
         self.ledger.stop()
 
-    def forget(self, known: set[TargetLife]) -> None:
+    def retain(self, known: set[TargetIncarnation]) -> None:
         """Forget lives of targets that are not known any more."""
         self.loads.forget(known)
         self.health.forget(known)
@@ -83,14 +83,14 @@
 def make_admission(
     *,
     clock: Clock,
-    board: TargetBoard,
+    registry: TargetRegistry,
     holder: TableHolder,
     members: Membership,
     peers: PeerLinks,
     window: float,
     source: random.Random,
     lag: Callable[[], float] = lambda: 0.0,
-) -> AdmissionParts:
+) -> AdmissionComponents:
     """Wire the gates.
 
     ``window`` is the time over which shares are compared, in seconds; ``lag`` tells for how long
@@ -105,19 +105,19 @@
         rate=lambda: 0.0 if holder.table is None else holder.table.limits.tokens_per_second,
         source=source,
     )
-    cold = ColdTargets(clock, board, holder)
+    cold = ColdTargets(clock, registry, holder)
     paces = TargetPaces()
     keeper = PlaceKeeper(
-        clock=clock, board=board, members=members, peers=peers, cold=cold, paces=paces
+        clock=clock, registry=registry, members=members, peers=peers, cold=cold, paces=paces
     )
     places = PlaceClient(clock=clock, members=members, peers=peers, keeper=keeper, paces=paces)
-    health = TargetHealth(clock)
+    health = EjectionTracker(clock)
     loads = TargetLoads(lambda: len(members.live()))
     hint = RetryHint(source)
-    waiting = WaitingAccounts(ledger, FewWhileBehind(lag))
+    waiting = AccountBacklog(ledger, LagAwareLimit(lag))
     engines = FleetGate(
         clock=clock,
-        board=board,
+        registry=registry,
         health=health,
         loads=loads,
         client=places,
@@ -129,7 +129,7 @@
     )
     plain = Gate(
         clock=clock,
-        board=board,
+        registry=registry,
         loads=loads,
         health=health,
         choice=TargetChoice(loads),
@@ -137,16 +137,16 @@
         hint=hint,
         cold=cold,
     )
-    gate = ServiceGates(holder=holder, board=board, cold=cold, engines=engines, plain=plain)
-    return AdmissionParts(
+    gate = ServiceGates(holder=holder, registry=registry, cold=cold, engines=engines, plain=plain)
+    return AdmissionComponents(
         gate=gate,
         loads=loads,
-        cold=cold,
+        cold_targets=cold,
         ledger=ledger,
         keeper=keeper,
         places=places,
         paces=paces,
         health=health,
-        waiting=waiting,
-        hint=hint,
+        backlog=waiting,
+        retry_hint=hint,
     )
--- a/packages/loomyard-router/src/loomyard_router/admission/crowd_limit.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/backlog_limit.py
@@ -9,14 +9,14 @@
 
 # Each waits a tenth of a second, so more would only make the router late for everybody, as one
 # account's burst of 300 a second did on half a core.
-MOST_WAITING = 48
+MAX_WAITING = 48
 # What a router that is behind can still carry.
-MOST_BEHIND = 12
+MAX_WAITING_LAGGING = 12
 # While ready tasks wait for longer than this, the router is behind.
-BEHIND_SECONDS = 0.015
+LAG_THRESHOLD_SECONDS = 0.015
 
 
-class CrowdLimit(Protocol):
+class BacklogLimit(Protocol):
     """Bound those of one account far beyond its share."""
 
     @property
@@ -24,16 +24,16 @@
         """Return how many may wait."""
 
 
-class FewAlways:
+class AlwaysLowLimit:
     """Keep the router's core for others, whether it is needed or not."""
 
     @property
     def most(self) -> int:
-        return MOST_BEHIND
+        return MAX_WAITING_LAGGING
 
 
 @frozen
-class FewWhileBehind:
+class LagAwareLimit:
     """Let as many ask as of any account while this router's core has time.
 
     An account whose callers all meet one router is refused there by its first bytes while one that
@@ -47,4 +47,4 @@
 
     @property
     def most(self) -> int:
-        return MOST_BEHIND if self.lag() > BEHIND_SECONDS else MOST_WAITING
+        return MAX_WAITING_LAGGING if self.lag() > LAG_THRESHOLD_SECONDS else MAX_WAITING
--- a/packages/loomyard-router/src/loomyard_router/admission/first_event_model.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/first_event_model.py
@@ -6,7 +6,7 @@
 
 from attrs import define
 
-from loomyard_router.admission.reading_pace import ReadingPace
+from loomyard_router.admission.prefill_estimate import PrefillEstimate
 
 # Bounds of a believable pace, in tokens a second.
 LEAST_PACE = 5_000.0
@@ -34,14 +34,14 @@
     before any, so that a target that was slow is tried again.
     """
 
-    believed: ReadingPace = ReadingPace()
+    believed: PrefillEstimate = PrefillEstimate()
     _weight: float = 0.0
     _tokens: float = 0.0
     _seconds: float = 0.0
     _tokens_squared: float = 0.0
     _products: float = 0.0
     _noted_at: float = -math.inf
-    _pace: ReadingPace | None = None
+    _pace: PrefillEstimate | None = None
     _pace_at: float = -math.inf
 
     def note(self, tokens: float, seconds: float, now: float) -> None:
@@ -62,13 +62,13 @@
         """Return the time beyond which a first event is taken for an outlier."""
         return OUTLIER_RATIO * self.pace(now).seconds(tokens) + OUTLIER_SLACK
 
-    def pace(self, now: float) -> ReadingPace:
+    def pace(self, now: float) -> PrefillEstimate:
         """Return the estimate."""
         if self._pace is None or now - self._pace_at > FRESH_SECONDS:
             self._pace, self._pace_at = self._estimate(now), now
         return self._pace
 
-    def _estimate(self, now: float) -> ReadingPace:
+    def _estimate(self, now: float) -> PrefillEstimate:
         kept = self._kept(now)
         low, high = self.believed.seconds(0.0), self.believed.seconds(PRIOR_TOKENS)
         half = PRIOR_WEIGHT / 2
@@ -80,7 +80,7 @@
         spread = squared / weight - tokens * tokens
         slope = (products / weight - tokens * seconds) / spread
         slope = min(1.0 / LEAST_PACE, max(1.0 / MOST_PACE, slope))
-        return ReadingPace(max(0.0, seconds - slope * tokens), 1.0 / slope)
+        return PrefillEstimate(max(0.0, seconds - slope * tokens), 1.0 / slope)
 
     def _kept(self, now: float) -> float:
         age = now - self._noted_at
--- a/packages/loomyard-router/src/loomyard_router/admission/fleet_gate.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/fleet_gate.py
@@ -10,22 +10,22 @@
 
 from loomyard.errors import Fault, ResultCode
 from loomyard.rendezvous import rank_weighted
-from loomyard_router.admission.place import Place
 from loomyard_router.admission.place_client import APART_LEVEL, Verdict
+from loomyard_router.admission.slot_permit import SlotPermit
 from loomyard_router.admission.waiting_time import RetryHint, wait_until
-from loomyard_router.announced.target_life import TargetLife
+from loomyard_router.announced.target_incarnation import TargetIncarnation
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
+    from loomyard_router.admission.account_backlog import AccountBacklog
+    from loomyard_router.admission.ejection_tracker import EjectionTracker
     from loomyard_router.admission.place_client import PlaceClient
     from loomyard_router.admission.share_ledger import ShareLedger
-    from loomyard_router.admission.target_health import TargetHealth
     from loomyard_router.admission.target_loads import TargetLoads
     from loomyard_router.admission.target_paces import TargetPaces
-    from loomyard_router.admission.waiting_accounts import WaitingAccounts
     from loomyard_router.announced.announced_target import AnnouncedTarget
     from loomyard_router.announced.cold_targets import ColdTargets
-    from loomyard_router.announced.target_board import TargetBoard
+    from loomyard_router.announced.target_registry import TargetRegistry
     from loomyard_router.routed.routed_request import RoutedRequest
 
 # Seconds of waiting that a token is worth which another engine would read again: some fifteen times
@@ -52,7 +52,7 @@
 @frozen
 class _Weights:
     until: float
-    by_life: dict[TargetLife, float]
+    by_life: dict[TargetIncarnation, float]
 
 
 class FleetGate:
@@ -62,12 +62,12 @@
         self,
         *,
         clock: Clock,
-        board: TargetBoard,
-        health: TargetHealth,
+        registry: TargetRegistry,
+        health: EjectionTracker,
         loads: TargetLoads,
         client: PlaceClient,
         ledger: ShareLedger,
-        waiting: WaitingAccounts,
+        waiting: AccountBacklog,
         hint: RetryHint,
         cold: ColdTargets,
         paces: TargetPaces,
@@ -75,7 +75,7 @@
         self._clock = clock
         self._paces = paces
         self._weights: dict[str, _Weights] = {}
-        self._board = board
+        self._registry = registry
         self._health = health
         self._loads = loads
         self._client = client
@@ -84,7 +84,9 @@
         self._hint = hint
         self._cold = cold
 
-    def take(self, request: RoutedRequest, avoided: frozenset[TargetLife]) -> Result[Place, Fault]:
+    def acquire(
+        self, request: RoutedRequest, avoided: frozenset[TargetIncarnation]
+    ) -> Result[SlotPermit, Fault]:
         account = request.account_name
         if not avoided:
             # What goes on at another target was asked for once already.
@@ -92,28 +94,30 @@
         request.trace.share_used = self._ledger.share_used(account)
         if self._waiting.is_full(account):
             detail = "too many requests of the account wait for a place here"
-            return Err(self._hint.refuse(ResultCode.QUEUE_FULL, detail))
-        self._waiting.enter(account)
+            return Err(self._hint.make_refusal(ResultCode.QUEUE_FULL, detail))
+        self._waiting.add_waiting(account)
         try:
             return self._find(request, avoided)
         finally:
-            self._waiting.leave(account)
+            self._waiting.remove_waiting(account)
 
-    def _find(self, request: RoutedRequest, avoided: frozenset[TargetLife]) -> Result[Place, Fault]:
+    def _find(
+        self, request: RoutedRequest, avoided: frozenset[TargetIncarnation]
+    ) -> Result[SlotPermit, Fault]:
         ranked = self._rank(request, avoided)
         if not ranked:
             detail = "no target of the service takes new work"
-            return Err(self._hint.refuse(ResultCode.NO_TARGET, detail))
+            return Err(self._hint.make_refusal(ResultCode.NO_TARGET, detail))
         beyond = self._ledger.beyond(request.account_name)
         until = wait_until(request, within_share=not beyond)
         objective = request.route.objective or DEFAULT_OBJECTIVE
         first_event_by = request.arrived_at + PATIENCE_PART * objective
         # What is beyond the share goes to those that got less, also if their callers all meet one
         # router; whoever got most would wait at all routers and take each place that comes free.
-        waits_here = not self._ledger.far_beyond(request.account_name)
+        waits_here = not self._ledger.is_far_over_share(request.account_name)
         first = min(until - self._clock.now(), _worthwhile_wait(request)) if waits_here else 0.0
         # A cold target is asked, not waited for: it bears a few requests a second.
-        waits = [(ranked[0], 0.0 if self._cold.rate(ranked[0]) else first)]
+        waits = [(ranked[0], 0.0 if self._cold.rate_limit(ranked[0]) else first)]
         waits += [(target, 0.0) for target in ranked[1 : 1 + _most_others(request, beyond=beyond)]]
         for choice, (target, wait) in enumerate(waits):
             place = self._ask(request, target, wait, first_event_by, choice)
@@ -130,7 +134,7 @@
         ranked: list[AnnouncedTarget],
         until: float,
         first_event_by: float,
-    ) -> Place | None:
+    ) -> SlotPermit | None:
         """Wait at the first target that is warm; with its keeper silent, for this router's part.
 
         A refusal at once would send the caller away while targets have room: of 844 refusals of
@@ -138,7 +142,7 @@
         keepers that it took for silent (19 routers, 36 requests a second there, lines of requests).
         """
         left = until - self._clock.now()
-        warm = (one for one in enumerate(ranked) if not self._cold.rate(one[1]))
+        warm = (one for one in enumerate(ranked) if not self._cold.rate_limit(one[1]))
         choice, target = next(warm, (-1, None))
         if target is None or left < LEAST_WAIT:
             return None
@@ -157,47 +161,49 @@
         request: RoutedRequest,
         ranked: list[AnnouncedTarget],
         first_event_by: float,
-    ) -> Place | None:
+    ) -> SlotPermit | None:
         """Take a place of this router's part of a warm target whose keeper is silent."""
         for choice, target in enumerate(ranked):
-            own = self._client.is_silent(target) and self._loads.has_place(target)
-            if own and not self._cold.rate(target):
+            own = self._client.is_silent(target) and self._loads.has_free_slot(target)
+            if own and not self._cold.rate_limit(target):
                 return self._ask(request, target, 0.0, first_event_by, choice)
         return None
 
-    def _end(self, request: RoutedRequest, place: Place | None) -> Result[Place, Fault]:
+    def _end(self, request: RoutedRequest, place: SlotPermit | None) -> Result[SlotPermit, Fault]:
         if request.presence.gone:
             if place is not None:
                 place.release()
             return Err(Fault(code=ResultCode.CALLER_GONE, detail="the caller left"))
         if place is None:
-            return Err(self._hint.refuse(ResultCode.QUEUE_TIMEOUT, "no place came free soon"))
+            return Err(self._hint.make_refusal(ResultCode.QUEUE_TIMEOUT, "no place came free soon"))
         return Ok(place)
 
     def _rank(
-        self, request: RoutedRequest, avoided: frozenset[TargetLife]
+        self, request: RoutedRequest, avoided: frozenset[TargetIncarnation]
     ) -> list[AnnouncedTarget]:
-        usable = [one for one in self._board.usable(request.service) if one.life not in avoided]
+        usable = [
+            one for one in self._registry.usable(request.service) if one.incarnation not in avoided
+        ]
         if not usable:
             return []
-        by_id = {target.id: target for target in self._health.sound(usable)}
+        by_id = {target.id: target for target in self._health.healthy(usable)}
         # What ran beside a request that ends targets often shares its prompt; after its target
         # ended it goes another way than that, so that it is not there again.
         key = request.fingerprint if request.suspicion else request.affinity
         weights = self._weigh(request.service)
-        capacities = {target.id: weights.get(target.life, 1.0) for target in by_id.values()}
+        capacities = {target.id: weights.get(target.incarnation, 1.0) for target in by_id.values()}
         ids = rank_weighted(key or request.head.attempt_id, capacities)
         ranked = [by_id[target_id] for target_id in ids]
         if not key:
             ranked.sort(key=self._client.taken)
         return ranked
 
-    def _weigh(self, service: str) -> dict[TargetLife, float]:
+    def _weigh(self, service: str) -> dict[TargetIncarnation, float]:
         """Return the relative capacities of targets, as they were lately."""
         now = self._clock.now()
         weights = self._weights.get(service)
         if weights is None or weights.until <= now:
-            lives = [target.life for target in self._board.usable(service)]
+            lives = [target.incarnation for target in self._registry.usable(service)]
             weights = _Weights(now + WEIGHTS_SECONDS, self._paces.weights(lives))
             self._weights[service] = weights
         return weights.by_life
@@ -209,15 +215,15 @@
         wait: float,
         first_event_by: float,
         choice: int,
-    ) -> Place | None:
+    ) -> SlotPermit | None:
         account = request.account_name
-        cold_rate = self._cold.rate(target)
+        cold_rate = self._cold.rate_limit(target)
         outcome = self._client.ask(
             request,
             target,
             wait=wait,
             first_event_by=first_event_by,
-            level=self._ledger.level(account),
+            level=self._ledger.usage(account),
             used=self._ledger.share_used(account),
             cold_rate=cold_rate,
         )
@@ -231,11 +237,11 @@
         ):
             return None
         ticket = outcome.ticket
-        self._loads.enter(target)
+        self._loads.record_start(target)
         self._ledger.give(account, request.cost)
 
         def released() -> None:
-            self._loads.leave(target)
+            self._loads.record_end(target)
             if ticket:
                 self._client.release(ticket)
 
@@ -247,7 +253,7 @@
             self._ledger.take_back(account, request.cost)
 
         taken = self._client.taken(target) if ticket else -1
-        return Place(
+        return SlotPermit(
             target,
             released,
             answered=answered,
--- a/packages/loomyard-router/src/loomyard_router/admission/gate.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/gate.py
@@ -9,21 +9,21 @@
 from result import Err, Ok, Result
 
 from loomyard.errors import Fault, ResultCode
-from loomyard_router.admission.place import Place
+from loomyard_router.admission.slot_permit import SlotPermit
 from loomyard_router.admission.waiter import Waiter
 from loomyard_router.admission.waiting_time import wait_until
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
     from loomyard_router.admission.account_usage import AccountUsage
+    from loomyard_router.admission.ejection_tracker import EjectionTracker
     from loomyard_router.admission.target_choice import TargetChoice
-    from loomyard_router.admission.target_health import TargetHealth
     from loomyard_router.admission.target_loads import TargetLoads
     from loomyard_router.admission.waiting_time import RetryHint
     from loomyard_router.announced.announced_target import AnnouncedTarget
     from loomyard_router.announced.cold_targets import ColdTargets
-    from loomyard_router.announced.target_board import TargetBoard
-    from loomyard_router.announced.target_life import TargetLife
+    from loomyard_router.announced.target_incarnation import TargetIncarnation
+    from loomyard_router.announced.target_registry import TargetRegistry
     from loomyard_router.routed.routed_request import RoutedRequest
 
 
@@ -34,16 +34,16 @@
         self,
         *,
         clock: Clock,
-        board: TargetBoard,
+        registry: TargetRegistry,
         loads: TargetLoads,
-        health: TargetHealth,
+        health: EjectionTracker,
         choice: TargetChoice,
         usage: AccountUsage,
         hint: RetryHint,
         cold: ColdTargets,
     ) -> None:
         self._clock = clock
-        self._board = board
+        self._registry = registry
         self._loads = loads
         self._health = health
         self._choice = choice
@@ -51,16 +51,20 @@
         self._hint = hint
         self._cold = cold
         self._queues: dict[str, dict[str, deque[Waiter]]] = {}
-        board.subscribe(self._dispatch_all)
+        registry.subscribe(self._dispatch_all)
 
-    def take(self, request: RoutedRequest, avoided: frozenset[TargetLife]) -> Result[Place, Fault]:
+    def acquire(
+        self, request: RoutedRequest, avoided: frozenset[TargetIncarnation]
+    ) -> Result[SlotPermit, Fault]:
         """Wait for a place, at a target that is not avoided.
 
         Errors: ``NO_TARGET``, ``QUEUE_TIMEOUT``, ``CALLER_GONE``; nothing ran.
         """
         if not self._candidates(request, avoided):
             return Err(
-                self._hint.refuse(ResultCode.NO_TARGET, "no target of the service takes new work")
+                self._hint.make_refusal(
+                    ResultCode.NO_TARGET, "no target of the service takes new work"
+                )
             )
         waiter = Waiter(request, avoided)
         if not self._queues.get(request.service):
@@ -69,7 +73,7 @@
                 return Ok(place)
         return self._wait(waiter)
 
-    def _wait(self, waiter: Waiter) -> Result[Place, Fault]:
+    def _wait(self, waiter: Waiter) -> Result[SlotPermit, Fault]:
         request = waiter.request
         queue = self._queues.setdefault(request.service, {})
         queue.setdefault(request.account_name, deque()).append(waiter)
@@ -94,7 +98,9 @@
             return Ok(place)
         if request.presence.gone:
             return Err(Fault(code=ResultCode.CALLER_GONE, detail="the caller left"))
-        return Err(self._hint.refuse(ResultCode.QUEUE_TIMEOUT, "no place came free soon enough"))
+        return Err(
+            self._hint.make_refusal(ResultCode.QUEUE_TIMEOUT, "no place came free soon enough")
+        )
 
     def _withdraw(self, waiter: Waiter) -> None:
         queue = self._queues.get(waiter.request.service, {})
@@ -105,32 +111,32 @@
                 del queue[waiter.request.account_name]
 
     def _candidates(
-        self, request: RoutedRequest, avoided: frozenset[TargetLife]
+        self, request: RoutedRequest, avoided: frozenset[TargetIncarnation]
     ) -> list[AnnouncedTarget]:
         usable = [
             one
-            for one in self._board.usable(request.service)
-            if one.life not in avoided and not self._cold.rate(one)
+            for one in self._registry.usable(request.service)
+            if one.incarnation not in avoided and not self._cold.rate_limit(one)
         ]
-        return self._health.sound(usable) if usable else []
+        return self._health.healthy(usable) if usable else []
 
-    def _place(self, waiter: Waiter) -> Place | None:
+    def _place(self, waiter: Waiter) -> SlotPermit | None:
         request = waiter.request
         candidates = self._candidates(request, waiter.avoided)
         target = self._choice.choose(request.affinity, candidates, request.head.attempt_id)
         if target is None:
             return None
-        self._loads.enter(target)
+        self._loads.record_start(target)
         self._usage.add(request.account_name, request.cost)
 
         def released() -> None:
-            self._loads.leave(target)
+            self._loads.record_end(target)
             self._dispatch(target.service)
 
         def unused() -> None:
             self._usage.add(request.account_name, -request.cost)
 
-        return Place(target, released, unused=unused)
+        return SlotPermit(target, released, unused=unused)
 
     def _dispatch_all(self) -> None:
         for service in list(self._queues):
--- a/packages/loomyard-router/src/loomyard_router/admission/place_client.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/place_client.py
@@ -19,7 +19,7 @@
     PlacesReleased,
     PromptsRead,
 )
-from loomyard_router.announced.target_life import TargetLife
+from loomyard_router.announced.target_incarnation import TargetIncarnation
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
@@ -64,7 +64,7 @@
 
 @frozen(kw_only=True)
 class _Held:
-    target: TargetLife
+    target: TargetIncarnation
     keeper: str
 
 
@@ -87,14 +87,14 @@
         self._paces = paces
         self._tickets = 0
         self._held: dict[int, _Held] = {}
-        self._keepers: dict[TargetLife, str] = {}
-        self._watch = KeeperWatch(clock=clock, members=members, peers=peers)
-        self._watch.subscribe(self._move)
+        self._keepers: dict[TargetIncarnation, str] = {}
+        self._owner_health = KeeperWatch(clock=clock, members=members, peers=peers)
+        self._owner_health.subscribe(self._move)
         self.objections: Counter[str] = Counter()
         self._released: dict[str, list[int]] = {}
         self._read: dict[str, list[int]] = {}
         self._sending: set[str] = set()
-        self._taken: dict[TargetLife, int] = {}
+        self._taken: dict[TargetIncarnation, int] = {}
         self._task: gevent.Greenlet | None = None
         members.subscribe(self._move)
 
@@ -104,22 +104,22 @@
 
     def stop(self) -> None:
         """End."""
-        self._watch.stop()
+        self._owner_health.stop()
         if self._task is not None:
             self._task.kill(block=False)
 
     def taken(self, target: AnnouncedTarget) -> int:
         """Return how many places of a target were taken when its keeper answered last."""
-        return self._taken.get(target.life, 0)
+        return self._taken.get(target.incarnation, 0)
 
     @property
     def silent(self) -> frozenset[str]:
         """Return the keepers that do not answer."""
-        return self._watch.silent
+        return self._owner_health.silent
 
     def is_silent(self, target: AnnouncedTarget) -> bool:
         """Tell whether no keeper of a target can be asked."""
-        return self._watch.is_silent(self.keeper_of(target.life))
+        return self._owner_health.is_silent(self.owner_of(target.incarnation))
 
     def ask(
         self,
@@ -142,7 +142,7 @@
         self._tickets += 1
         ticket = self._tickets
         message = PlaceRequest(
-            target=target.life,
+            target=target.incarnation,
             slots=target.slots,
             ticket=ticket,
             level=round(level),
@@ -159,9 +159,9 @@
         answer = self._request(message, wait) or self._request(evolve(message, wait=0), 0.0)
         if answer is None:
             return AskOutcome(verdict=Verdict.UNREACHABLE)
-        self._taken[target.life] = answer.taken
+        self._taken[target.incarnation] = answer.taken
         if answer.pace is not None:
-            self._paces.hear(target.life, answer.pace)
+            self._paces.hear(target.incarnation, answer.pace)
         if not answer.granted:
             self.objections[answer.objection] += 1
             return AskOutcome(verdict=Verdict.FULL, objection=answer.objection)
@@ -186,25 +186,25 @@
         if held is not None:
             self._queue_release(held.keeper, ticket)
 
-    def forget(self, known: set[TargetLife]) -> None:
+    def forget(self, known: set[TargetIncarnation]) -> None:
         """Forget lives of targets that are not known any more."""
         for life in set(self._taken) - known:
             del self._taken[life]
         for life in set(self._keepers) - known:
             del self._keepers[life]
 
-    def keeper_of(self, life: TargetLife) -> str:
+    def owner_of(self, life: TargetIncarnation) -> str:
         """Return the router that keeps the places of a target."""
         keeper = self._keepers.get(life)
         if keeper is None:
-            keeper = choose(life, self._watch.candidates())
+            keeper = choose(life, self._owner_health.candidates())
             self._keepers[life] = keeper
         return keeper
 
     def state(self, *, moved: bool = False) -> None:
         """State all places that are held to their keepers; with paces where those are new."""
         own = self._members.own
-        by_keeper: dict[str, dict[TargetLife, list[int]]] = {}
+        by_keeper: dict[str, dict[TargetIncarnation, list[int]]] = {}
         for ticket, held in self._held.items():
             by_keeper.setdefault(held.keeper, {}).setdefault(held.target, []).append(ticket)
         for keeper, held_there in by_keeper.items():
@@ -217,9 +217,9 @@
 
     def _request(self, message: PlaceRequest, wait: float) -> PlaceAnswer | None:
         """Ask the keeper of a target; ``None`` where it does not answer."""
-        keeper = self.keeper_of(message.target)
+        keeper = self.owner_of(message.target)
         own = self._members.own
-        if self._watch.is_silent(keeper):
+        if self._owner_health.is_silent(keeper):
             return None
         if message.apart and not self._is_rightful(message.target):
             # Others may still reach the keeper, and only one can tell what begins beside what.
@@ -230,18 +230,18 @@
             deadline = self._clock.now() + wait + REPLY_SECONDS
             match self._peers.request(keeper, message, deadline):
                 case Ok(PlaceAnswer() as answer):
-                    self._watch.note_heard()
+                    self._owner_health.note_heard()
                 case missed:
                     self._queue_release(keeper, message.ticket)
-                    self._watch.note_silence(keeper, _detail(missed))
+                    self._owner_health.note_silence(keeper, _detail(missed))
                     return None
         if answer.granted:
             self._held[message.ticket] = _Held(target=message.target, keeper=keeper)
         return answer
 
-    def _is_rightful(self, life: TargetLife) -> bool:
+    def _is_rightful(self, life: TargetIncarnation) -> bool:
         """Tell whether a target is kept by the router that would keep it if all answered."""
-        return self.keeper_of(life) == choose(life, [one.name for one in self._members.live()])
+        return self.owner_of(life) == choose(life, [one.name for one in self._members.live()])
 
     def _queue_release(self, keeper: str, ticket: int) -> None:
         own = self._members.own
@@ -267,7 +267,7 @@
         """Tell new keepers at once what is held at their targets."""
         self._keepers.clear()
         for ticket, held in list(self._held.items()):
-            keeper = self.keeper_of(held.target)
+            keeper = self.owner_of(held.target)
             if keeper != held.keeper:
                 self._held[ticket] = _Held(target=held.target, keeper=keeper)
         self.state(moved=True)
--- a/packages/loomyard-router/src/loomyard_router/admission/place_keeper.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/place_keeper.py
@@ -16,16 +16,16 @@
     PromptsRead,
 )
 from loomyard_router.admission.serving_order import GapForTheLeastServed, ServingOrder
-from loomyard_router.announced.cold_targets import WARM
+from loomyard_router.announced.cold_targets import UNLIMITED
 from loomyard_router.members.pause_detector import PauseDetector
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
-    from loomyard_router.admission.reading_pace import ReadingPace
+    from loomyard_router.admission.prefill_estimate import PrefillEstimate
     from loomyard_router.admission.target_paces import TargetPaces
     from loomyard_router.announced.cold_targets import ColdTargets
-    from loomyard_router.announced.target_board import TargetBoard
-    from loomyard_router.announced.target_life import TargetLife
+    from loomyard_router.announced.target_incarnation import TargetIncarnation
+    from loomyard_router.announced.target_registry import TargetRegistry
     from loomyard_router.members.membership import Member, Membership
     from loomyard_router.peers.links import PeerLinks
 
@@ -51,7 +51,7 @@
         self,
         *,
         clock: Clock,
-        board: TargetBoard,
+        registry: TargetRegistry,
         members: Membership,
         peers: PeerLinks,
         cold: ColdTargets,
@@ -59,19 +59,19 @@
         order: ServingOrder | None = None,
     ) -> None:
         self._clock = clock
-        self._board = board
+        self._registry = registry
         self._cold = cold
         self._paces = paces
         self._order = order or GapForTheLeastServed()
         self._members = members
-        self._books: dict[TargetLife, PlaceBook] = {}
+        self._books: dict[TargetIncarnation, PlaceBook] = {}
         self._task: gevent.Greenlet | None = None
         peers.handle(PlaceRequest, self.ask)
         peers.handle(PlacesReleased, self.release)
         peers.handle(PromptsRead, self.note_read)
         peers.handle(PlacesHeld, self.restate)
         members.subscribe(self._drop_dead)
-        board.subscribe(self._end_closed)
+        registry.subscribe(self._end_closed)
 
     def start(self) -> None:
         """Start to drop places of routers that fell silent."""
@@ -90,7 +90,7 @@
         book.cold.per_second = request.cold_rate or self._cold_rate(request.target)
         ticket = (member.name, member.incarnation, request.ticket)
         ask = Ask(ticket, request, self._clock.now() + request.patience / MILLISECONDS)
-        closed = self._board.is_closed(request.target)
+        closed = self._registry.is_withdrawn(request.target)
         granted = not closed and self._wait(book, ask)
         if not granted and not closed:
             book.note_refused(request)
@@ -129,22 +129,24 @@
     def sweep(self) -> None:
         """Free the places of which nothing was heard for long."""
         oldest = self._clock.now() - SILENCE_SECONDS
-        known = {target.life for target in self._board.known()}
+        known = {target.incarnation for target in self._registry.listed()}
         for life, book in list(self._books.items()):
             if book.drop(lambda _, since: since < oldest):
                 self._serve(book)
             if not book.held and not book.waiting and life not in known:
                 del self._books[life]
 
-    def _open(self, life: TargetLife, slots: int, told: ReadingPace | None = None) -> PlaceBook:
+    def _open(
+        self, life: TargetIncarnation, slots: int, told: PrefillEstimate | None = None
+    ) -> PlaceBook:
         """Return the book of a target, made with what is believed of its pace where it is new."""
         book = self._books.get(life)
         if book is None:
             book = self._books[life] = PlaceBook(slots)
-            target = self._board.find(life)
-            others = () if target is None else self._board.usable(target.service)
+            target = self._registry.find(life)
+            others = () if target is None else self._registry.usable(target.service)
             book.prompts.model.believed = told or self._paces.believed(
-                life, (other.life for other in others)
+                life, (other.incarnation for other in others)
             )
         return book
 
@@ -162,9 +164,9 @@
             pace=pace,
         )
 
-    def _cold_rate(self, life: TargetLife) -> float:
-        target = self._board.find(life)
-        return WARM if target is None else self._cold.rate(target)
+    def _cold_rate(self, life: TargetIncarnation) -> float:
+        target = self._registry.find(life)
+        return UNLIMITED if target is None else self._cold.rate_limit(target)
 
     def _wait(self, book: PlaceBook, ask: Ask) -> bool:
         book.waiting.append(ask)
@@ -192,7 +194,7 @@
     def _end_closed(self) -> None:
         """Send on who waits at targets that have begun to leave, while other targets have time."""
         for life, book in self._books.items():
-            if book.waiting and self._board.is_closed(life):
+            if book.waiting and self._registry.is_withdrawn(life):
                 waiting, book.waiting = book.waiting, []
                 for ask in waiting:
                     ask.granted.set(False)
--- a/packages/loomyard-router/src/loomyard_router/admission/place_messages.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/place_messages.py
@@ -4,8 +4,8 @@
 
 from attrs import field, frozen
 
-from loomyard_router.admission.reading_pace import ReadingPace
-from loomyard_router.announced.target_life import TargetLife
+from loomyard_router.admission.prefill_estimate import PrefillEstimate
+from loomyard_router.announced.target_incarnation import TargetIncarnation
 from loomyard_router.peers.message_types import peer_message
 
 
@@ -25,7 +25,7 @@
     request has just begun.
     """
 
-    target: TargetLife
+    target: TargetIncarnation
     slots: int
     ticket: int
     level: int
@@ -57,7 +57,7 @@
     taken: int
     objection: str = ""
     first_event: int = 0
-    pace: ReadingPace | None = None
+    pace: PrefillEstimate | None = None
 
 
 @peer_message("pe")
@@ -85,5 +85,5 @@
     become their keeper just now.
     """
 
-    held: dict[TargetLife, list[int]] = field(factory=dict)
-    paces: dict[TargetLife, ReadingPace] = field(factory=dict)
+    held: dict[TargetIncarnation, list[int]] = field(factory=dict)
+    paces: dict[TargetIncarnation, PrefillEstimate] = field(factory=dict)
--- a/packages/loomyard-router/src/loomyard_router/admission/reading_pace.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/prefill_estimate.py
@@ -10,7 +10,7 @@
 
 
 @frozen
-class ReadingPace:
+class PrefillEstimate:
     """A target's delay before and beside reading, in seconds, and its tokens read a second."""
 
     delay: float = FIRST_DELAY
--- a/packages/loomyard-router/src/loomyard_router/admission/service_gates.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/service_gates.py
@@ -6,18 +6,18 @@
 
 from attrs import frozen
 
+from loomyard_router.admission.admission_gate import AdmissionGate
 from loomyard_router.admission.place_client import APART_LEVEL
-from loomyard_router.admission.place_source import PlaceSource
 from loomyard_router.announced.cold_targets import ColdTargets
-from loomyard_router.announced.target_board import TargetBoard
+from loomyard_router.announced.target_registry import TargetRegistry
 from loomyard_router.routes.table_holder import TableHolder
 
 if TYPE_CHECKING:
     from result import Result
 
     from loomyard.errors import Fault
-    from loomyard_router.admission.place import Place
-    from loomyard_router.announced.target_life import TargetLife
+    from loomyard_router.admission.slot_permit import SlotPermit
+    from loomyard_router.announced.target_incarnation import TargetIncarnation
     from loomyard_router.routed.routed_request import RoutedRequest
 
 
@@ -31,12 +31,14 @@
     """
 
     holder: TableHolder
-    board: TargetBoard
+    registry: TargetRegistry
     cold: ColdTargets
-    engines: PlaceSource
-    plain: PlaceSource
+    engines: AdmissionGate
+    plain: AdmissionGate
 
-    def take(self, request: RoutedRequest, avoided: frozenset[TargetLife]) -> Result[Place, Fault]:
+    def acquire(
+        self, request: RoutedRequest, avoided: frozenset[TargetIncarnation]
+    ) -> Result[SlotPermit, Fault]:
         """Wait for a place, as ``PlaceSource`` says."""
         table = self.holder.table
         terms = table.services.get(request.service) if table else None
@@ -45,8 +47,8 @@
             or request.suspicion >= APART_LEVEL
             or self._all_cold(request.service)
         )
-        return (self.engines if shared else self.plain).take(request, avoided)
+        return (self.engines if shared else self.plain).acquire(request, avoided)
 
     def _all_cold(self, service: str) -> bool:
-        usable = self.board.usable(service)
-        return bool(usable) and all(self.cold.rate(target) for target in usable)
+        usable = self.registry.usable(service)
+        return bool(usable) and all(self.cold.rate_limit(target) for target in usable)
--- a/packages/loomyard-router/src/loomyard_router/admission/share_ledger.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/share_ledger.py
@@ -13,7 +13,7 @@
 from loomyard_router.admission.account_usage import AccountUsage
 from loomyard_router.admission.fair_share import find_water_level
 from loomyard_router.admission.gap_bound import GapBound, NoGapBound
-from loomyard_router.admission.share_messages import NO_SHARE, ShareReport, ShareWord
+from loomyard_router.admission.share_messages import NO_SHARE, ShareWord, UsageReport
 from loomyard_router.admission.share_tree import find_parent
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
 
 @frozen
 class _Heard:
-    report: ShareReport
+    report: UsageReport
     at: float
 
 
@@ -81,7 +81,7 @@
         self._word_at = -math.inf
         self._parent: str | None = None
         self._task: gevent.Greenlet | None = None
-        peers.handle(ShareReport, self.take_report)
+        peers.handle(UsageReport, self.take_report)
         members.subscribe(self._move)
         self._move()
 
@@ -108,7 +108,7 @@
         self._given.add(account, -cost)
         self._since.add(account, -cost)
 
-    def level(self, account: str) -> float:
+    def usage(self, account: str) -> float:
         """Return what an account got lately in the whole fleet, in tokens."""
         if self._stale:
             return self._given.level(account)
@@ -119,14 +119,14 @@
         """Return what an account got lately in parts of its share; ``None`` where none is known."""
         if self._stale or self._word.share == NO_SHARE:
             return None
-        return self.level(account) / max(1, self._word.share)
+        return self.usage(account) / max(1, self._word.share)
 
     def beyond(self, account: str) -> bool:
         """Tell whether an account has had its share."""
         used = self.share_used(account)
         return used is not None and used > 1.0
 
-    def far_beyond(self, account: str) -> bool:
+    def is_far_over_share(self, account: str) -> bool:
         """Tell whether an account got so much that it may have only what nobody waits for.
 
         That is measured by what engines do in fact. Where they do twice the stated rate, many
@@ -134,15 +134,15 @@
         """
         if self._stale or self._word.reached == NO_SHARE:
             return False
-        return self.level(account) > FAR_BEYOND * self._word.reached
+        return self.usage(account) > FAR_BEYOND * self._word.reached
 
-    def outran(self, account: str) -> bool:
+    def exceeds_usage_cap(self, account: str) -> bool:
         """Tell whether an account got so much more than another one that waits that it pauses."""
         if self._stale or self._word.most == NO_SHARE:
             return False
-        return self.level(account) > self._word.most
+        return self.usage(account) > self._word.most
 
-    def take_report(self, member: Member, report: ShareReport) -> ShareWord:
+    def take_report(self, member: Member, report: UsageReport) -> ShareWord:
         """Take in the sums of another router; answer with what is known here."""
         self._heard[member.name] = _Heard(report, self._clock.now())
         if self._stale:
@@ -178,7 +178,7 @@
     def _decay(self, since: float) -> float:
         return math.exp(-max(0.0, self._clock.now() - since) / self._window)
 
-    def _sum_up(self) -> ShareReport:
+    def _sum_up(self) -> UsageReport:
         asked, given = Counter(self._asked.levels()), Counter(self._given.levels())
         oldest = self._clock.now() - STALE_SECONDS
         live = {member.name for member in self._members.live()}
@@ -195,13 +195,13 @@
                     sums.update({account: cost * decay for account, cost in told.items()})
         most = len(asked) if self._parent is None else MOST_ACCOUNTS
         named = [account for account, _ in asked.most_common(most)]
-        return ShareReport(
+        return UsageReport(
             asked={account: round(asked[account]) for account in named},
             given={account: round(given[account]) for account in named if account in given},
             summed=summed,
         )
 
-    def _judge(self, report: ShareReport) -> ShareWord:
+    def _judge(self, report: UsageReport) -> ShareWord:
         capacity = self._rate() * self._window
         if not capacity:
             return ShareWord(given=report.given)
@@ -214,7 +214,7 @@
             given=report.given,
         )
 
-    def _report(self, parent: str, report: ShareReport) -> ShareWord | None:
+    def _report(self, parent: str, report: UsageReport) -> ShareWord | None:
         match self._peers.request(parent, report, self._clock.now() + REPLY_SECONDS):
             case Ok(ShareWord() as word):
                 return word
--- a/packages/loomyard-router/src/loomyard_router/admission/share_messages.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/share_messages.py
@@ -12,7 +12,7 @@
 
 @peer_message("ur")
 @frozen(kw_only=True)
-class ShareReport:
+class UsageReport:
     """What accounts asked and got lately, in tokens, at the sender and those that report to it.
 
     ``summed`` says that reports of other routers are in it. Only the accounts that asked most are
--- a/packages/loomyard-router/src/loomyard_router/admission/place_figures.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/slot_metrics.py
@@ -6,17 +6,17 @@
 
 from attrs import frozen
 
-from loomyard_router.admission.reading_pace import ReadingPace
-from loomyard_router.announced.target_life import TargetLife
+from loomyard_router.admission.prefill_estimate import PrefillEstimate
+from loomyard_router.announced.target_incarnation import TargetIncarnation
 
 
 @frozen(kw_only=True)
-class PlaceFigures:
+class SlotMetrics:
     """Reads for metrics: ``paces`` by targets' lives, ``objections`` counted since the start.
 
     ``silent`` is how many keepers of places do not answer this router.
     """
 
-    paces: Callable[[], Mapping[TargetLife, ReadingPace]] = dict
-    objections: Callable[[], Mapping[str, int]] = dict
-    silent: Callable[[], int] = lambda: 0
+    prefill_estimates: Callable[[], Mapping[TargetIncarnation, PrefillEstimate]] = dict
+    refusals: Callable[[], Mapping[str, int]] = dict
+    unresponsive_owners: Callable[[], int] = lambda: 0
--- a/packages/loomyard-router/src/loomyard_router/admission/place.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/slot_permit.py
@@ -10,7 +10,7 @@
     from loomyard_router.announced.announced_target import AnnouncedTarget
 
 
-class Place:
+class SlotPermit:
     """A place at a target until it is released, which may be done more than once.
 
     ``taken`` is how many were in use with it, -1 where nobody counts them; ``choice`` is the rank
@@ -37,7 +37,7 @@
         self._answered = answered
         self._unused = unused
 
-    def note_answer(self) -> None:
+    def record_answer_start(self) -> None:
         """Take in that the answer began, so the prompt was read."""
         if self._answered is not None:
             self._answered()
--- a/packages/loomyard-router/src/loomyard_router/admission/target_choice.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/target_choice.py
@@ -27,7 +27,7 @@
         self, affinity: str, targets: Sequence[AnnouncedTarget], key: str
     ) -> AnnouncedTarget | None:
         """Return a target with a free place, or ``None``; ``key`` settles ties."""
-        free = [target for target in targets if self._loads.has_place(target)]
+        free = [target for target in targets if self._loads.has_free_slot(target)]
         if not free:
             return None
         if len(free) == 1:
--- a/packages/loomyard-router/src/loomyard_router/admission/target_loads.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/target_loads.py
@@ -15,11 +15,11 @@
 
     from loomyard.clock import Clock
     from loomyard_router.announced.announced_target import AnnouncedTarget
-    from loomyard_router.announced.target_life import TargetLife
+    from loomyard_router.announced.target_incarnation import TargetIncarnation
 
 # Routers are not equally loaded, so the parts of a target add up to more than its slots.
 OVERCOMMITMENT = 1.3
-LEAST_PLACES = 2
+MIN_SLOTS = 2
 
 
 class TargetLoads:
@@ -27,50 +27,50 @@
 
     def __init__(self, routers: Callable[[], int]) -> None:
         self._routers = routers
-        self._running: Counter[TargetLife] = Counter()
+        self._running: Counter[TargetIncarnation] = Counter()
         self._waiting: deque[AsyncResult] = deque()
-        self._cold: dict[TargetLife, ColdRate] = {}
+        self._cold: dict[TargetIncarnation, ColdRate] = {}
 
     def running(self, target: AnnouncedTarget) -> int:
         """Return how many requests of this router run at a target."""
-        return self._running[target.life]
+        return self._running[target.incarnation]
 
     def places(self, target: AnnouncedTarget) -> int:
         """Return how many requests of this router may run at a target."""
         part = OVERCOMMITMENT * target.slots / max(1, self._routers())
-        return max(LEAST_PLACES, math.ceil(part))
+        return max(MIN_SLOTS, math.ceil(part))
 
-    def has_place(self, target: AnnouncedTarget) -> bool:
-        return self._running[target.life] < self.places(target)
+    def has_free_slot(self, target: AnnouncedTarget) -> bool:
+        return self._running[target.incarnation] < self.places(target)
 
     def spend_part(self, target: AnnouncedTarget, cold_rate: float, now: float) -> bool:
         """Take this router's part of a target, if there is room.
 
         ``cold_rate`` is how many requests a second a cold target may get, 0 for a warm one.
         """
-        if not self.has_place(target):
+        if not self.has_free_slot(target):
             return False
-        rate = self._cold.setdefault(target.life, ColdRate())
+        rate = self._cold.setdefault(target.incarnation, ColdRate())
         rate.per_second = cold_rate / max(1, self._routers())
         if not rate.admits(now):
             return False
         rate.spend()
         return True
 
-    def forget(self, known: set[TargetLife]) -> None:
+    def forget(self, known: set[TargetIncarnation]) -> None:
         """Forget lives of targets that are not known any more."""
         for life in set(self._cold) - known:
             del self._cold[life]
 
-    def enter(self, target: AnnouncedTarget) -> None:
+    def record_start(self, target: AnnouncedTarget) -> None:
         """Count a request that begins."""
-        self._running[target.life] += 1
+        self._running[target.incarnation] += 1
 
-    def leave(self, target: AnnouncedTarget) -> None:
+    def record_end(self, target: AnnouncedTarget) -> None:
         """Count a request that ended."""
-        self._running[target.life] -= 1
-        if self._running[target.life] <= 0:
-            del self._running[target.life]
+        self._running[target.incarnation] -= 1
+        if self._running[target.incarnation] <= 0:
+            del self._running[target.incarnation]
         if self._waiting:
             self._waiting.popleft().set(True)
 
--- a/packages/loomyard-router/src/loomyard_router/admission/target_paces.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/target_paces.py
@@ -8,8 +8,8 @@
 
 from attrs import define, field
 
-from loomyard_router.admission.reading_pace import ReadingPace
-from loomyard_router.announced.target_life import TargetLife
+from loomyard_router.admission.prefill_estimate import PrefillEstimate
+from loomyard_router.announced.target_incarnation import TargetIncarnation
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -28,34 +28,36 @@
     Whoever becomes the keeper of a target begins with what routers heard of it before.
     """
 
-    _heard: dict[TargetLife, ReadingPace] = field(factory=dict)
+    _heard: dict[TargetIncarnation, PrefillEstimate] = field(factory=dict)
 
-    def all(self) -> dict[TargetLife, ReadingPace]:
+    def all(self) -> dict[TargetIncarnation, PrefillEstimate]:
         """Return the last word on each target."""
         return dict(self._heard)
 
-    def hear(self, life: TargetLife, pace: ReadingPace) -> None:
+    def hear(self, life: TargetIncarnation, pace: PrefillEstimate) -> None:
         """Take in what the keeper of a target believes of it."""
         self._heard[life] = pace
 
-    def among(self, lives: Iterable[TargetLife]) -> dict[TargetLife, ReadingPace]:
+    def among(self, lives: Iterable[TargetIncarnation]) -> dict[TargetIncarnation, PrefillEstimate]:
         """Return the last words on those of some targets of which anything was heard."""
         return {life: self._heard[life] for life in lives if life in self._heard}
 
-    def believed(self, life: TargetLife, others: Iterable[TargetLife]) -> ReadingPace:
+    def believed(
+        self, life: TargetIncarnation, others: Iterable[TargetIncarnation]
+    ) -> PrefillEstimate:
         """Return what to expect of a target: its own pace, or what is usual among others."""
         own = self._heard.get(life)
         if own is not None:
             return own
         heard = [self._heard[other] for other in others if other in self._heard]
         if not heard:
-            return ReadingPace()
-        return ReadingPace(
+            return PrefillEstimate()
+        return PrefillEstimate(
             median(pace.delay for pace in heard),
             median(pace.tokens_per_second for pace in heard),
         )
 
-    def weights(self, lives: Iterable[TargetLife]) -> dict[TargetLife, float]:
+    def weights(self, lives: Iterable[TargetIncarnation]) -> dict[TargetIncarnation, float]:
         """Return the capacity of each target relative to the usual one, in steps."""
         listed = list(lives)
         heard = [self._heard[life].tokens_per_second for life in listed if life in self._heard]
@@ -64,12 +66,12 @@
         usual = median(heard)
         return {life: self._weigh(life, usual) for life in listed}
 
-    def forget(self, known: set[TargetLife]) -> None:
+    def forget(self, known: set[TargetIncarnation]) -> None:
         """Forget lives of targets that are not known any more."""
         for life in set(self._heard) - known:
             del self._heard[life]
 
-    def _weigh(self, life: TargetLife, usual: float) -> float:
+    def _weigh(self, life: TargetIncarnation, usual: float) -> float:
         pace = self._heard.get(life)
         if pace is None:
             return 1.0
--- a/packages/loomyard-router/src/loomyard_router/admission/waiter.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/waiter.py
@@ -5,7 +5,7 @@
 from attrs import define, field
 from gevent.event import AsyncResult
 
-from loomyard_router.announced.target_life import TargetLife
+from loomyard_router.announced.target_incarnation import TargetIncarnation
 from loomyard_router.routed.routed_request import RoutedRequest
 
 
@@ -14,5 +14,5 @@
     """A request, the targets that failed it, and its place once it has one."""
 
     request: RoutedRequest
-    avoided: frozenset[TargetLife]
+    avoided: frozenset[TargetIncarnation]
     placed: AsyncResult = field(factory=AsyncResult)
--- a/packages/loomyard-router/src/loomyard_router/admission/waiting_time.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/waiting_time.py
@@ -45,7 +45,7 @@
 
     source: random.Random
 
-    def refuse(self, code: ResultCode, detail: str) -> Fault:
+    def make_refusal(self, code: ResultCode, detail: str) -> Fault:
         """Make the fault of a request that did not run."""
         seconds = self.source.uniform(RETRY_LEAST, RETRY_MOST)
         return Fault(code=code, detail=detail, retry_after=seconds)
--- a/packages/loomyard-router/src/loomyard_router/announced/announced_target.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/announced_target.py
@@ -4,7 +4,7 @@
 
 from attrs import field, frozen
 
-from loomyard_router.announced.target_life import TargetLife, name_life
+from loomyard_router.announced.target_incarnation import TargetIncarnation, name_life
 from loomyard_router.feeds.feed_position import NO_POSITION, FeedPosition
 
 
@@ -26,8 +26,8 @@
     born: int | None = None
     cold_seconds: float = 0.0
     position: FeedPosition = field(default=NO_POSITION, eq=False)
-    life: TargetLife = field(init=False, repr=False)
+    incarnation: TargetIncarnation = field(init=False, repr=False)
 
-    @life.default
-    def _name_life(self) -> TargetLife:
+    @incarnation.default
+    def _name_life(self) -> TargetIncarnation:
         return name_life(self.id, self.born)
--- a/packages/loomyard-router/src/loomyard_router/announced/emptied_data_centres.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/evacuated_data_centres.py
@@ -17,7 +17,7 @@
 logger = logging.getLogger(__name__)
 
 
-class EmptiedDataCentres:
+class EvacuatedDataCentres:
     """The taker of records by which operators empty a data centre and take it back.
 
     ``find_name`` returns the data centre that a key empties, ``None`` for any other key. The order
--- a/packages/loomyard-router/src/loomyard_router/announced/leaving_exchange.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/leaving_exchange.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from loomyard_router.announced.target_life import TargetLife
+from loomyard_router.announced.target_incarnation import TargetIncarnation
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
-    from loomyard_router.announced.target_board import TargetBoard
+    from loomyard_router.announced.target_registry import TargetRegistry
     from loomyard_router.members.membership import Membership
 
 TOPIC = "leaving"
@@ -24,19 +24,19 @@
     hears it here, also while the store is away.
     """
 
-    def __init__(self, clock: Clock, board: TargetBoard, members: Membership) -> None:
+    def __init__(self, clock: Clock, registry: TargetRegistry, members: Membership) -> None:
         self._clock = clock
-        self._board = board
+        self._registry = registry
         self._members = members
 
     def start(self) -> None:
         """Start to tell and to hear."""
-        self._board.notices.subscribe(self._announce)
+        self._registry.notices.subscribe(self._announce)
         self._members.subscribe_topic(TOPIC, self._hear)
 
-    def _announce(self, life: TargetLife) -> None:
+    def _announce(self, life: TargetIncarnation) -> None:
         until = self._clock.now() + TOLD_SECONDS
         self._members.announce(TOPIC, life, LEAVES, until=until)
 
     def _hear(self, life: str, _: int) -> None:
-        self._board.note_leaving(TargetLife(life))
+        self._registry.record_leaving(TargetIncarnation(life))
--- a/packages/loomyard-router/src/loomyard_router/announced/order_losses.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/order_rollback_policy.py
@@ -18,7 +18,7 @@
 TAKEN_BACK_SECONDS = 3.0
 
 
-class OrderLosses:
+class OrderRollbackPolicy:
     """The policy for configurations and for orders that empty data centres.
 
     A configuration stands until one is written, whichever version: an older one never replaces one
--- a/packages/loomyard-router/src/loomyard_router/announced/target_feed.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_feed.py
@@ -15,7 +15,7 @@
     from result import Result
 
     from loomyard_router.announced.announced_target import AnnouncedTarget
-    from loomyard_router.announced.target_board import TargetBoard
+    from loomyard_router.announced.target_registry import TargetRegistry
     from loomyard_router.feeds.keyed_record import KeyedRecord
     from loomyard_router.feeds.unreadable_entries import UnreadableEntries
     from loomyard_router.feeds.unreadable_entry import UnreadableEntry
@@ -31,29 +31,31 @@
     An entry that can't be read names no target to use, also where an earlier one did.
     """
 
-    def __init__(self, board: TargetBoard, decode: Decoder, unreadable: UnreadableEntries) -> None:
-        self._board = board
+    def __init__(
+        self, registry: TargetRegistry, decode: Decoder, unreadable: UnreadableEntries
+    ) -> None:
+        self._registry = registry
         self._decode = decode
         self._unreadable = unreadable
 
     def apply_listing(self, records: list[KeyedRecord], source: str) -> None:
         targets, withdrawn = self._decode_all(records)
         # First, so that they don't seem to have lapsed with the rest of their service.
-        self._board.withdraw(withdrawn)
-        self._board.replace_all(targets, by_peer=source == PEER)
+        self._registry.withdraw(withdrawn)
+        self._registry.replace_all(targets, by_peer=source == PEER)
 
     def apply_records(self, records: list[KeyedRecord], source: str = STORE) -> None:
         newest = {record.key: record for record in records}
         dropped = [record.key for record in newest.values() if record.value is None]
         targets, withdrawn = self._decode_all(list(newest.values()))
-        self._board.withdraw(withdrawn)
-        self._board.apply(targets, dropped, by_peer=source == PEER)
+        self._registry.withdraw(withdrawn)
+        self._registry.apply(targets, dropped, by_peer=source == PEER)
 
     def on_store_lost(self) -> None:
-        self._board.note_store_lost()
+        self._registry.note_store_lost()
 
     def on_store_recovered(self) -> None:
-        self._board.note_store_back()
+        self._registry.note_store_back()
 
     def _decode_all(self, records: list[KeyedRecord]) -> tuple[list[AnnouncedTarget], list[str]]:
         """Return the targets that are announced, and the keys whose entries can't be read."""
--- a/packages/loomyard-router/src/loomyard_router/announced/announced_figures.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_metrics.py
@@ -10,19 +10,19 @@
 
 
 @frozen(kw_only=True)
-class AnnouncedFigures:
+class TargetMetrics:
     """Reads for metrics: states as they are, and counts since the start.
 
     ``suspected`` and ``blocked`` are requests under which targets ended: all of them, and those
     that are refused for it.
     """
 
-    emptied: Callable[[], int] = lambda: 0
+    evacuated: Callable[[], int] = lambda: 0
     cold: Callable[[], int] = lambda: 0
     suspected: Callable[[], int] = lambda: 0
     blocked: Callable[[], int] = lambda: 0
-    lives_replaced: Callable[[], int] = lambda: 0
-    resting: Callable[[], int] = lambda: 0
-    said_leaving: Callable[[], int] = lambda: 0
-    rests_asked: Callable[[], int] = lambda: 0
+    restarts: Callable[[], int] = lambda: 0
+    backing_off: Callable[[], int] = lambda: 0
+    leaving_count: Callable[[], int] = lambda: 0
+    backoff_requests: Callable[[], int] = lambda: 0
     unreadable: Callable[[], Mapping[tuple[str, UnreadableReason], int]] = dict
--- a/packages/loomyard-router/src/loomyard_router/announced/target_notice.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_notice.py
@@ -10,7 +10,7 @@
     """That a target leaves, and for how many seconds it wants nothing from this router."""
 
     leaving: bool = False
-    rest_seconds: float = 0.0
+    backoff_seconds: float = 0.0
 
 
 NO_NOTICE = TargetNotice()
--- a/packages/loomyard-router/src/loomyard_router/announced/target_notices.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_notices.py
@@ -14,7 +14,7 @@
 
     from loomyard.clock import Clock
     from loomyard_router.announced.announced_target import AnnouncedTarget
-    from loomyard_router.announced.target_life import TargetLife
+    from loomyard_router.announced.target_incarnation import TargetIncarnation
     from loomyard_router.announced.target_notice import TargetNotice
 
 logger = logging.getLogger(__name__)
@@ -33,41 +33,41 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._leaving: OrderedDict[TargetLife, None] = OrderedDict()
+        self._leaving: OrderedDict[TargetIncarnation, None] = OrderedDict()
         self._resting = RestingTargets(clock)
-        self._told: list[Callable[[TargetLife], None]] = []
-        self.leavings = 0
-        self.rests = 0
+        self._told: list[Callable[[TargetIncarnation], None]] = []
+        self.leaving_count = 0
+        self.backoff_requests = 0
 
     @property
-    def resting(self) -> int:
+    def backing_off(self) -> int:
         """Return how many targets this router leaves alone, as they asked."""
         return len(self._resting.names)
 
-    def subscribe(self, told: Callable[[TargetLife], None]) -> None:
+    def subscribe(self, told: Callable[[TargetIncarnation], None]) -> None:
         """Call back with each life that told this router that it leaves; it must not wait."""
         self._told.append(told)
 
-    def leaves(self, life: TargetLife) -> bool:
+    def is_leaving(self, life: TargetIncarnation) -> bool:
         """Tell whether a life said that it leaves."""
         return life in self._leaving
 
-    def rests_until(self, life: TargetLife) -> float:
+    def backoff_until(self, life: TargetIncarnation) -> float:
         """Return until when a life asked to be left alone; it may have passed."""
         return self._resting.until(life)
 
-    def hear(self, target: AnnouncedTarget, notice: TargetNotice) -> bool:
+    def apply(self, target: AnnouncedTarget, notice: TargetNotice) -> bool:
         """Take in what a target said; tell whether that changes who may get work."""
-        left = notice.leaving and self.note_leaving(target.life)
+        left = notice.leaving and self.note_leaving(target.incarnation)
         if left:
-            self.leavings += 1
+            self.leaving_count += 1
             emit(logger, Event.TARGET_SAYS_LEAVING, target=target.id, service=target.service)
             for told in self._told:
-                told(target.life)
-        rests = notice.rest_seconds > 0.0 and self._note_rest(target, notice.rest_seconds)
+                told(target.incarnation)
+        rests = notice.backoff_seconds > 0.0 and self._note_rest(target, notice.backoff_seconds)
         return left or rests
 
-    def note_leaving(self, life: TargetLife) -> bool:
+    def note_leaving(self, life: TargetIncarnation) -> bool:
         """Take in that a life leaves; tell whether that is new."""
         if life in self._leaving:
             return False
@@ -78,8 +78,8 @@
 
     def _note_rest(self, target: AnnouncedTarget, seconds: float) -> bool:
         self._resting.expire()
-        self.rests += 1
-        if not self._resting.rest(target.life, self._clock.now() + seconds):
+        self.backoff_requests += 1
+        if not self._resting.rest(target.incarnation, self._clock.now() + seconds):
             return False
         emit(
             logger,
--- a/packages/loomyard-router/src/loomyard_router/announced/target_board.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_registry.py
@@ -16,7 +16,7 @@
     from collections.abc import Callable, Iterable
 
     from loomyard.clock import Clock
-    from loomyard_router.announced.target_life import TargetLife
+    from loomyard_router.announced.target_incarnation import TargetIncarnation
     from loomyard_router.announced.target_notice import TargetNotice
 
 logger = logging.getLogger(__name__)
@@ -36,7 +36,7 @@
     usable_until: float
 
 
-class TargetBoard:
+class TargetRegistry:
     """The targets of each service, after what the feed says and when it could say it.
 
     Who drains, vanishes or stands in an emptied data centre gets no new work, also where nobody
@@ -51,14 +51,14 @@
         self._targets: dict[str, AnnouncedTarget] = {}
         self._lapsed: dict[str, _Lapsed] = {}
         self._usable: dict[str, tuple[AnnouncedTarget, ...]] = {}
-        self._usable_lives: frozenset[TargetLife] = frozenset()
-        self._open_lives: frozenset[TargetLife] = frozenset()
-        self._by_life: dict[TargetLife, AnnouncedTarget] = {}
+        self._usable_lives: frozenset[TargetIncarnation] = frozenset()
+        self._open_lives: frozenset[TargetIncarnation] = frozenset()
+        self._by_life: dict[TargetIncarnation, AnnouncedTarget] = {}
         self._listeners: list[Callable[[], None]] = []
         self._emptied: frozenset[str] = frozenset()
         self._taken_back_at: dict[str, float] = {}
         self._cold_until: dict[str, float] = {}
-        self.lives_replaced = 0
+        self.restarts = 0
         self.notices = TargetNotices(clock)
         self._heard = False
         self._store_away = False
@@ -80,32 +80,32 @@
             self._refresh()
         return self._usable.get(service, ())
 
-    def takes_work(self, target: AnnouncedTarget) -> bool:
+    def is_usable(self, target: AnnouncedTarget) -> bool:
         """Tell whether a target may still get new work."""
         self.usable(target.service)
-        return target.life in self._usable_lives
+        return target.incarnation in self._usable_lives
 
-    def is_closed(self, life: TargetLife) -> bool:
+    def is_withdrawn(self, life: TargetIncarnation) -> bool:
         """Tell whether no router may send a life new work; one that rests here may serve others."""
         return life in self._by_life and life not in self._open_lives
 
-    def rests(self, target: AnnouncedTarget) -> bool:
+    def is_backing_off(self, target: AnnouncedTarget) -> bool:
         """Tell whether a target asked this router to leave it alone for now."""
-        return self.notices.rests_until(target.life) > self._clock.now()
+        return self.notices.backoff_until(target.incarnation) > self._clock.now()
 
     def cold_until(self, target: AnnouncedTarget) -> float:
         """Return when a target gets warm after its own word; it may have passed."""
         return self._cold_until.get(target.id, -math.inf)
 
-    def taken_back_at(self, data_centre: str) -> float:
+    def reinstated_at(self, data_centre: str) -> float:
         """Return when a data centre that had been emptied was last taken back."""
         return self._taken_back_at.get(data_centre, -math.inf)
 
-    def find(self, life: TargetLife) -> AnnouncedTarget | None:
+    def find(self, life: TargetIncarnation) -> AnnouncedTarget | None:
         """Return the target that is known under the name of a life."""
         return self._by_life.get(life)
 
-    def known(self) -> list[AnnouncedTarget]:
+    def listed(self) -> list[AnnouncedTarget]:
         """Return all targets that are listed, or were until just now."""
         return [*self._targets.values(), *(lapsed.target for lapsed in self._lapsed.values())]
 
@@ -141,17 +141,17 @@
         if withdrawn:
             self._changed()
 
-    def hear(self, target: AnnouncedTarget, notice: TargetNotice) -> None:
+    def apply_notice(self, target: AnnouncedTarget, notice: TargetNotice) -> None:
         """Take in what a target says of itself in an answer."""
-        if self.notices.hear(target, notice):
+        if self.notices.apply(target, notice):
             self._changed()
 
-    def note_leaving(self, life: TargetLife) -> None:
+    def record_leaving(self, life: TargetIncarnation) -> None:
         """Take in that a target told another router that it leaves."""
         if self.notices.note_leaving(life):
             self._changed()
 
-    def note_emptied(self, data_centres: frozenset[str]) -> None:
+    def set_evacuated(self, data_centres: frozenset[str]) -> None:
         """Take in which data centres get no new work."""
         now = self._clock.now()
         for data_centre in self._emptied - data_centres:
@@ -178,13 +178,19 @@
         lapsed = self._lapsed.get(target.id)
         before = known if lapsed is None else lapsed.target
         if before is not None and _is_old_news(target, before):
-            emit(logger, Event.OLD_LIFE_IGNORED, target=target.id, life=target.life)
+            emit(logger, Event.OLD_LIFE_IGNORED, target=target.id, life=target.incarnation)
             return
         self._lapsed.pop(target.id, None)
         self._targets[target.id] = target
-        if before is not None and before.life != target.life:
-            self.lives_replaced += 1
-            emit(logger, Event.TARGET_REBORN, target=target.id, life=target.life, old=before.life)
+        if before is not None and before.incarnation != target.incarnation:
+            self.restarts += 1
+            emit(
+                logger,
+                Event.TARGET_REBORN,
+                target=target.id,
+                life=target.incarnation,
+                old=before.incarnation,
+            )
         if before is None or before != target or before.position != target.position:
             self._cold_until[target.id] = self._clock.now() + target.cold_seconds
         if known is None:
@@ -259,21 +265,23 @@
                 waits.append(lapsed.usable_until)
         candidates = [target for target in candidates if not self._is_barred(target)]
         for target in candidates:
-            if self.rests(target):
-                waits.append(self.notices.rests_until(target.life))
+            if self.is_backing_off(target):
+                waits.append(self.notices.backoff_until(target.incarnation))
             else:
                 usable.setdefault(target.service, []).append(target)
         self._next_check = min(waits, default=0.0)
-        self._by_life = {target.life: target for target in self.known()}
+        self._by_life = {target.incarnation: target for target in self.listed()}
         self._usable = {
             service: tuple(sorted(targets, key=lambda target: target.id))
             for service, targets in usable.items()
         }
-        self._open_lives = frozenset(target.life for target in candidates)
-        self._usable_lives = frozenset(target.life for one in usable.values() for target in one)
+        self._open_lives = frozenset(target.incarnation for target in candidates)
+        self._usable_lives = frozenset(
+            target.incarnation for one in usable.values() for target in one
+        )
 
     def _is_barred(self, target: AnnouncedTarget) -> bool:
-        return target.data_centre in self._emptied or self.notices.leaves(target.life)
+        return target.data_centre in self._emptied or self.notices.is_leaving(target.incarnation)
 
 
 def _is_old_news(target: AnnouncedTarget, known: AnnouncedTarget) -> bool:
--- a/packages/loomyard-router/src/loomyard_router/announced/target_losses.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_rollback_policy.py
@@ -20,7 +20,7 @@
 ANNOUNCED_SECONDS = 3.0
 
 
-class TargetLosses:
+class TargetRollbackPolicy:
     """The policy for announcements.
 
     A target that the copy lacks stays in use while it answers. One that leaves goes on leaving,
@@ -41,7 +41,7 @@
         if said.value is None:
             return False
         before, after = self._read(believed), self._read(said)
-        if before is None or after is None or before.life != after.life:
+        if before is None or after is None or before.incarnation != after.incarnation:
             return copied
         if before.draining != after.draining:
             return before.draining
--- a/packages/loomyard-router/src/loomyard_router/application.py
+++ b/packages/loomyard-router/src/loomyard_router/application.py
@@ -24,9 +24,9 @@
 from loomyard_router.metrics.meters import Meters
 from loomyard_router.metrics.server import MetricsServer
 from loomyard_router.operators.interface import make_operators_interface
-from loomyard_router.orders.joint_backlog import JointBacklog
-from loomyard_router.orders.order_keeper import make_order_keeper
-from loomyard_router.orders.wanted_services import WantedServices
+from loomyard_router.orders.combined_backlog import CombinedBacklog
+from loomyard_router.orders.order_controller import make_order_controller
+from loomyard_router.orders.refusal_notifier import RefusalNotifier
 from loomyard_router.parts import Parts, Platform
 from loomyard_router.requests.estimates import CostEstimates
 from loomyard_router.requests.journal import Journal
@@ -188,7 +188,7 @@
     follower = ConfigFollower(platform.log, clock)
     targets = make_known_targets(clock, platform.engine, fleet.members, fleet.peers)
     if fleet.vm_watch is not None:
-        fleet.vm_watch.subscribe(targets.take_vms)
+        fleet.vm_watch.subscribe(targets.apply_vm_list)
     parts = Parts(
         members=fleet.members,
         peers=fleet.peers,
@@ -230,8 +230,8 @@
         resuming=resuming,
         meters=meters,
     )
-    WantedServices(clock, parts.members, parts.peers, serving.backlog)
-    parts.orders = make_order_keeper(
+    RefusalNotifier(clock, parts.members, parts.peers, serving.backlog)
+    parts.orders = make_order_controller(
         clock=clock,
         log=platform.log,
         engine=platform.engine,
@@ -274,5 +274,5 @@
 
 def _join_backlogs(serving: Serving, policy: SharePolicy) -> BacklogView:
     if isinstance(policy, FleetPolicy):
-        return JointBacklog((serving.backlog, policy))
+        return CombinedBacklog((serving.backlog, policy))
     return serving.backlog
--- a/packages/loomyard-router/src/loomyard_router/crashes/target_check.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/coalesced_probe.py
@@ -10,10 +10,10 @@
     from collections.abc import Callable
 
     from loomyard_router.announced.announced_target import AnnouncedTarget
-    from loomyard_router.announced.target_life import TargetLife
+    from loomyard_router.announced.target_incarnation import TargetIncarnation
 
 
-class TargetCheck:
+class CoalescedProbe:
     """Find out once for all that broke there together.
 
     An answer that was lost, spoiled or reset on its way says nothing of the request; the machine of
@@ -22,12 +22,12 @@
 
     def __init__(self, find_out: Callable[[AnnouncedTarget], bool]) -> None:
         self._find_out = find_out
-        self._ended: set[TargetLife] = set()
-        self._asked: dict[TargetLife, AsyncResult] = {}
+        self._ended: set[TargetIncarnation] = set()
+        self._asked: dict[TargetIncarnation, AsyncResult] = {}
 
     def has_ended(self, target: AnnouncedTarget) -> bool:
         """Return whether this life of a target has ended; waits for its word."""
-        life = target.life
+        life = target.incarnation
         if life in self._ended:
             return True
         asked = self._asked.get(life)
@@ -44,6 +44,6 @@
             self._ended.add(life)
         return ended
 
-    def forget(self, known: set[TargetLife]) -> None:
+    def retain(self, known: set[TargetIncarnation]) -> None:
         """Forget lives of targets that are not known any more."""
         self._ended &= known
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_guard.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_guard.py
@@ -15,10 +15,10 @@
 if TYPE_CHECKING:
     from loomyard.clock import Clock
     from loomyard_router.announced.announced_target import AnnouncedTarget
-    from loomyard_router.announced.target_life import TargetLife
+    from loomyard_router.announced.target_incarnation import TargetIncarnation
+    from loomyard_router.crashes.coalesced_probe import CoalescedProbe
     from loomyard_router.crashes.crash_ledger import CrashLedger
     from loomyard_router.crashes.crash_record import CrashRecord
-    from loomyard_router.crashes.target_check import TargetCheck
     from loomyard_router.routed.routed_request import RoutedRequest
 
 logger = logging.getLogger(__name__)
@@ -32,7 +32,7 @@
 class CrashGuard:
     """Judge requests before each send, and learn from how it ended."""
 
-    def __init__(self, clock: Clock, ledger: CrashLedger, check: TargetCheck) -> None:
+    def __init__(self, clock: Clock, ledger: CrashLedger, check: CoalescedProbe) -> None:
         self._clock = clock
         self._late = LateVerdicts(clock)
         self._ledger = ledger
@@ -40,7 +40,7 @@
         self._told: set[str] = set()
         ledger.subscribe(self._tell)
 
-    def judge(self, request: RoutedRequest) -> Fault | None:
+    def check(self, request: RoutedRequest) -> Fault | None:
         """Set what a request is suspected of; return why it may not be sent, if so."""
         if self._ledger.empty:
             return None
@@ -54,13 +54,15 @@
             retry_after=until - self._clock.now(),
         )
 
-    def note_sending(self, request: RoutedRequest) -> None:
+    def record_attempt(self, request: RoutedRequest) -> None:
         """Take in that a request is sent now."""
         known = not self._ledger.empty
         request.send_rank = self._ledger.next_rank(request.fingerprint) if known else 1
         request.began_at = None
 
-    def note_broken(self, request: RoutedRequest, target: AnnouncedTarget) -> gevent.Greenlet:
+    def investigate_failure(
+        self, request: RoutedRequest, target: AnnouncedTarget
+    ) -> gevent.Greenlet:
         """Take in that a target broke a request off; return what finds out whether it ended."""
         began = request.began_at
         runs = began is not None and self._clock.now() - began >= RUNS_SECONDS
@@ -73,11 +75,11 @@
             answered=began is not None,
         )
 
-    def note_heard(self, target: AnnouncedTarget) -> None:
+    def record_response(self, target: AnnouncedTarget) -> None:
         """Take in that a target began an answer."""
-        self._late.note_heard(target.life)
+        self._late.note_heard(target.incarnation)
 
-    def note_known(self, known: set[TargetLife]) -> None:
+    def update_known(self, known: set[TargetIncarnation]) -> None:
         """Take in which lives of targets are known; one that is not any more has ended."""
         for life, broken in self._late.take_ended(known):
             self._ledger.note_end(broken.fingerprint, broken.rank, life)
@@ -92,7 +94,7 @@
                 level=self._ledger.level(broken.fingerprint),
             )
 
-    def note_whole(self, request: RoutedRequest) -> None:
+    def record_completion(self, request: RoutedRequest) -> None:
         """Take in that a target ran a request to its end, well or not."""
         if not self._ledger.empty:
             self._ledger.clear(request.fingerprint)
@@ -109,11 +111,11 @@
         if not self._check.has_ended(target):
             if not runs:
                 broken = BrokenRequest(request.fingerprint, rank)
-                self._late.note_broken(target.life, broken, answered=answered)
+                self._late.note_broken(target.incarnation, broken, answered=answered)
             return
-        self._late.note_heard(target.life)
+        self._late.note_heard(target.incarnation)
         if not runs:
-            self._ledger.note_end(request.fingerprint, rank, target.life)
+            self._ledger.note_end(request.fingerprint, rank, target.incarnation)
         emit(
             logger,
             Event.TARGET_ENDED,
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_ledger.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_ledger.py
@@ -8,7 +8,7 @@
 
 from attrs import frozen
 
-from loomyard_router.announced.target_life import TargetLife
+from loomyard_router.announced.target_incarnation import TargetIncarnation
 from loomyard_router.crashes.crash_record import CrashRecord
 from loomyard_router.members.digests import unordered_digest
 
@@ -40,7 +40,7 @@
     """The requests that are known for ending targets, and the lives that ended under them."""
 
     guilty: frozenset[str]
-    ends: frozenset[TargetLife]
+    ends: frozenset[TargetIncarnation]
 
 
 class CrashLedger:
@@ -107,15 +107,15 @@
         until = record.until - (FORGET_SECONDS - BLOCK_SECONDS)
         return until if until > self._clock.now() else None
 
-    def suspected(self) -> int:
+    def count_suspected(self) -> int:
         """Return under how many requests targets ended."""
         return sum(bool(record.lives) for record in self._records.values())
 
-    def blocked(self) -> int:
+    def count_blocked(self) -> int:
         """Return how many requests are refused."""
         return sum(self.blocked_until(one) is not None for one in self._heavy)
 
-    def note_end(self, fingerprint: str, rank: int, life: TargetLife) -> None:
+    def note_end(self, fingerprint: str, rank: int, life: TargetIncarnation) -> None:
         """Take in that a target ended under a request that was sent with a rank."""
         until = self._clock.now() + FORGET_SECONDS
         self.join(CrashRecord(fingerprint=fingerprint, until=until, ends={rank: life}))
@@ -193,10 +193,10 @@
         self._forget_sums()
 
 
-def find_guilty(ends: Mapping[str, frozenset[TargetLife]]) -> Verdict:
+def find_guilty(ends: Mapping[str, frozenset[TargetIncarnation]]) -> Verdict:
     """Find the fewest requests that explain the ends; those that explain as many go together."""
     guilty: set[str] = set()
-    explained: set[TargetLife] = set()
+    explained: set[TargetIncarnation] = set()
     while True:
         left = {one: len(lives - explained) for one, lives in ends.items() if one not in guilty}
         most = max(left.values(), default=0)
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_memory.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_persister.py
@@ -12,7 +12,7 @@
 
 from loomyard.events import Event, emit
 from loomyard.rendezvous import choose
-from loomyard_router.announced.target_life import TargetLife
+from loomyard_router.announced.target_incarnation import TargetIncarnation
 from loomyard_router.crashes.crash_ledger import BLOCKING_LEVEL, FORGET_SECONDS
 from loomyard_router.crashes.crash_messages import MOST_NAME, CrashWord, read_word
 from loomyard_router.feeds.unreadable_entry import MAX_DETAIL_CHARS
@@ -43,10 +43,10 @@
 
     until: int
     cleared: int = 0
-    ends: list[tuple[int, TargetLife]] = field(factory=list)
+    ends: list[tuple[int, TargetIncarnation]] = field(factory=list)
 
 
-class CrashMemory:
+class CrashPersister:
     """Write each request that is refused to the platform, once, and read them at the start.
 
     One of the routers writes for all: the one that the request belongs to among the live ones. A
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_record.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_record.py
@@ -6,10 +6,10 @@
 
 from attrs import evolve, field, frozen
 
-from loomyard_router.announced.target_life import TargetLife
+from loomyard_router.announced.target_incarnation import TargetIncarnation
 
 # Less than any name, so that it holds where records are joined.
-NOBODYS = TargetLife("")
+NOBODYS = TargetIncarnation("")
 
 
 @frozen(kw_only=True)
@@ -27,10 +27,10 @@
     fingerprint: str
     until: float
     cleared: int = 0
-    ends: Mapping[int, TargetLife] = field(factory=dict)
+    ends: Mapping[int, TargetIncarnation] = field(factory=dict)
 
     @property
-    def lives(self) -> frozenset[TargetLife]:
+    def lives(self) -> frozenset[TargetIncarnation]:
         """Return the lives whose ends are blamed on the request."""
         return frozenset(life for life in self.ends.values() if life != NOBODYS)
 
@@ -42,7 +42,7 @@
     def joined(self, other: CrashRecord) -> CrashRecord:
         """Return what both records say; the same in any order and however often."""
         cleared = max(self.cleared, other.cleared)
-        ends: dict[int, TargetLife] = {}
+        ends: dict[int, TargetIncarnation] = {}
         for rank in sorted({*self.ends, *other.ends}):
             if rank > cleared:
                 lives = [one.ends[rank] for one in (self, other) if rank in one.ends]
@@ -54,7 +54,7 @@
             ends=ends,
         )
 
-    def without(self, lives: frozenset[TargetLife]) -> CrashRecord:
+    def without(self, lives: frozenset[TargetIncarnation]) -> CrashRecord:
         """Return the record in which some ends are not blamed on the request."""
         ends = {rank: NOBODYS if life in lives else life for rank, life in self.ends.items()}
         return evolve(self, ends=ends)
--- a/packages/loomyard-router/src/loomyard_router/crashes/late_verdicts.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/late_verdicts.py
@@ -10,7 +10,7 @@
     from collections.abc import Iterable
 
     from loomyard.clock import Clock
-    from loomyard_router.announced.target_life import TargetLife
+    from loomyard_router.announced.target_incarnation import TargetIncarnation
 
 # What breaks as a process ends breaks within milliseconds; a busy router sees it over some turns.
 TOGETHER_SECONDS = 0.1
@@ -46,9 +46,11 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._suspected: dict[TargetLife, _Suspected] = {}
+        self._suspected: dict[TargetIncarnation, _Suspected] = {}
 
-    def note_broken(self, life: TargetLife, request: BrokenRequest, *, answered: bool) -> None:
+    def note_broken(
+        self, life: TargetIncarnation, request: BrokenRequest, *, answered: bool
+    ) -> None:
         """Take in that a life broke an attempt off, after bytes of an answer or before any."""
         now = self._clock.now()
         suspected = self._suspected.get(life)
@@ -65,11 +67,13 @@
         else:
             suspected.in_vain += 1
 
-    def note_heard(self, life: TargetLife) -> None:
+    def note_heard(self, life: TargetIncarnation) -> None:
         """Take in that a life answered."""
         self._suspected.pop(life, None)
 
-    def take_ended(self, known: set[TargetLife]) -> Iterable[tuple[TargetLife, BrokenRequest]]:
+    def take_ended(
+        self, known: set[TargetIncarnation]
+    ) -> Iterable[tuple[TargetIncarnation, BrokenRequest]]:
         """Return what ran at lives that are known no more as they ended, once for each life."""
         oldest = self._clock.now() - LATEST_SECONDS
         for life in self._suspected.keys() - known:
--- a/packages/loomyard-router/src/loomyard_router/crashes/life_probe.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/liveness_probe.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from loomyard.clock import Clock
     from loomyard_router.announced.announced_target import AnnouncedTarget
-    from loomyard_router.announced.target_board import TargetBoard
+    from loomyard_router.announced.target_registry import TargetRegistry
     from loomyard_router.routed.connection_pool import ConnectionPool
     from loomyard_router.routed.dialects import TargetDialect
     from loomyard_router.routed.target_connection import TargetConnection
@@ -28,7 +28,7 @@
 MOST_SAVED = 4.0
 
 
-class LifeProbe:
+class LivenessProbe:
     """Try a connection; where one comes up ask who lives there.
 
     Something in front of a target may accept connections for a process that has ended. What it
@@ -40,13 +40,13 @@
         self,
         *,
         clock: Clock,
-        board: TargetBoard,
+        registry: TargetRegistry,
         pool: ConnectionPool,
         dialect: TargetDialect,
         holder: TableHolder,
     ) -> None:
         self._clock = clock
-        self._board = board
+        self._registry = registry
         self._pool = pool
         self._dialect = dialect
         self._holder = holder
@@ -63,7 +63,7 @@
             logger.debug("a target that broke an answer off can't be reached: %r", error)
             return False
         path = self._health_path(target)
-        if not path or self._board.rests(target) or not self._may_ask():
+        if not path or self._registry.is_backing_off(target) or not self._may_ask():
             self._pool.keep(target, connection)
             return False
         return self._names_another(target, connection, path)
@@ -85,7 +85,7 @@
         self._pool.give_back(target, connection)
         if word.lives is not None and word.lives != target.id:
             return True
-        self._board.hear(target, word.notice)
+        self._registry.apply_notice(target, word.notice)
         return False
 
     def _health_path(self, target: AnnouncedTarget) -> str:
--- a/packages/loomyard-router/src/loomyard_router/metrics/exposition.py
+++ b/packages/loomyard-router/src/loomyard_router/metrics/exposition.py
@@ -10,8 +10,8 @@
 from prometheus_client.exposition import generate_latest
 from prometheus_client.registry import Collector
 
-from loomyard_router.admission.place_figures import PlaceFigures
-from loomyard_router.announced.announced_figures import AnnouncedFigures
+from loomyard_router.admission.slot_metrics import SlotMetrics
+from loomyard_router.announced.target_metrics import TargetMetrics
 from loomyard_router.metrics.key_histograms import UNITS_PER_SECOND
 from loomyard_router.routed.answer_figures import AnswerFigures
 from loomyard_router.routed.body_figures import BodyFigures
@@ -39,8 +39,8 @@
         traffic: TrafficCounters,
         in_flight: Callable[[], int],
         feeds: Callable[[], Iterable[FeedState]] = tuple,
-        announced: AnnouncedFigures | None = None,
-        places: PlaceFigures | None = None,
+        announced: TargetMetrics | None = None,
+        places: SlotMetrics | None = None,
         bodies: BodyFigures | None = None,
         unread: AnswerFigures | None = None,
     ) -> None:
@@ -48,8 +48,8 @@
         self._traffic = traffic
         self._in_flight = in_flight
         self._feeds = feeds
-        self._announced = announced or AnnouncedFigures()
-        self._places = places or PlaceFigures()
+        self._announced = announced or TargetMetrics()
+        self._places = places or SlotMetrics()
         self._bodies = bodies or BodyFigures()
         self._unread = unread or AnswerFigures()
 
@@ -139,7 +139,9 @@
     def _announcements(self) -> Iterator[Metric]:
         figures = self._announced
         yield _gauge(
-            "loomyard_data_centres_emptied", "data centres that operators emptied", figures.emptied
+            "loomyard_data_centres_emptied",
+            "data centres that operators emptied",
+            figures.evacuated,
         )
         yield _gauge("loomyard_targets_cold", "targets that are cold", figures.cold)
         yield _gauge(
@@ -155,22 +157,22 @@
         yield _gauge(
             "loomyard_targets_resting",
             "targets that this router leaves alone for a while, as they asked",
-            figures.resting,
+            figures.backing_off,
         )
         yield _counter(
             "loomyard_target_lives_replaced",
             "targets that started again under their id",
-            figures.lives_replaced,
+            figures.restarts,
         )
         yield _counter(
             "loomyard_targets_said_leaving",
             "targets that said in an answer that they leave",
-            figures.said_leaving,
+            figures.leaving_count,
         )
         yield _counter(
             "loomyard_target_rests_asked",
             "answers by which targets asked for rest",
-            figures.rests_asked,
+            figures.backoff_requests,
         )
         unreadable = CounterMetricFamily(
             "loomyard_entries_unreadable",
@@ -192,18 +194,18 @@
             "prompt tokens that a target reads a second, as last heard of it",
             labels=("target",),
         )
-        for life, heard in self._places.paces().items():
+        for life, heard in self._places.prefill_estimates().items():
             delay.add_metric((life,), heard.delay)
             pace.add_metric((life,), heard.tokens_per_second)
         objections = CounterMetricFamily(
             "loomyard_places_refused", "places that keepers did not give", labels=("objection",)
         )
-        for objection, count in self._places.objections().items():
+        for objection, count in self._places.refusals().items():
             objections.add_metric((objection,), count)
         silent = _gauge(
             "loomyard_keepers_silent",
             "keepers of places that do not answer this router",
-            self._places.silent,
+            self._places.unresponsive_owners,
         )
         yield from (delay, pace, objections, silent)
 
--- a/packages/loomyard-router/src/loomyard_router/metrics/lazy_server.py
+++ b/packages/loomyard-router/src/loomyard_router/metrics/lazy_server.py
@@ -13,8 +13,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from loomyard_router.admission.place_figures import PlaceFigures
-    from loomyard_router.announced.announced_figures import AnnouncedFigures
+    from loomyard_router.admission.slot_metrics import SlotMetrics
+    from loomyard_router.announced.target_metrics import TargetMetrics
     from loomyard_router.feeds.feed_state import FeedState
     from loomyard_router.metrics.meters import Meters
     from loomyard_router.peers.traffic import TrafficCounters
@@ -47,8 +47,8 @@
     traffic: TrafficCounters,
     in_flight: Callable[[], int],
     feeds: Callable[[], Iterable[FeedState]],
-    announced: AnnouncedFigures,
-    places: PlaceFigures,
+    announced: TargetMetrics,
+    places: SlotMetrics,
     bodies: BodyFigures,
     unread: AnswerFigures,
 ) -> LazyMetricsServer:
--- a/packages/loomyard-router/src/loomyard_router/orders/joint_backlog.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/combined_backlog.py
@@ -8,7 +8,7 @@
 
 
 @frozen
-class JointBacklog:
+class CombinedBacklog:
     """The most that any view sees; one view may contain another."""
 
     views: tuple[BacklogView, ...]
--- a/packages/loomyard-router/src/loomyard_router/orders/local_backlog.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/local_backlog.py
@@ -29,11 +29,11 @@
         refused = self._clock.now() < self._refused_until.get(service, float("-inf"))
         return self._waiting[service] + refused
 
-    def enter(self, service: str) -> None:
+    def add_waiting(self, service: str) -> None:
         """Count a request that begins to wait."""
         self._waiting[service] += 1
 
-    def leave(self, service: str) -> None:
+    def remove_waiting(self, service: str) -> None:
         """Count a request that no longer waits."""
         self._waiting[service] -= 1
 
@@ -41,12 +41,12 @@
         """Call back with the service of each refusal of this router."""
         self._listeners.append(refused)
 
-    def refuse(self, service: str) -> None:
+    def record_refusal(self, service: str) -> None:
         """Take in that this router refused a request since no target takes its service now."""
-        self.hear_refusal(service)
+        self.record_remote_refusal(service)
         for listener in self._listeners:
             listener(service)
 
-    def hear_refusal(self, service: str) -> None:
+    def record_remote_refusal(self, service: str) -> None:
         """Take in that some router refused a request of a service."""
         self._refused_until[service] = self._clock.now() + REFUSAL_SECONDS
--- a/packages/loomyard-router/src/loomyard_router/orders/order_keeper.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/order_controller.py
@@ -10,12 +10,12 @@
 
 from loomyard.events import Event, emit
 from loomyard.objects import Target, TargetState
-from loomyard_router.orders.order_lease_keeper import OrderLeaseKeeper
+from loomyard_router.orders.order_lease_manager import OrderLeaseManager
 from loomyard_router.orders.order_planner import OrderPlanner
 from loomyard_router.orders.order_sender import OrderSender
 from loomyard_router.orders.paced_weights import PacedWeights
 from loomyard_router.orders.target_view import TargetView
-from loomyard_router.shares.parents import find_allocator
+from loomyard_router.shares.allocator_selection import find_allocator
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
@@ -34,7 +34,7 @@
 MAX_OBSERVED = 16
 
 
-class OrderKeeper:
+class OrderController:
     """Hold the lease on orders where this router may, and order under it."""
 
     def __init__(
@@ -55,13 +55,13 @@
         self._backlog = backlog
         self._all: list[Target] = []
         self._ordered: list[Target] = []
-        self._lease = OrderLeaseKeeper(clock, log, members.own)
+        self._lease = OrderLeaseManager(clock, log, members.own)
         self._planner = OrderPlanner(clock, targets.may_send)
         self._sender = OrderSender(clock, engine, weights, self._lease)
         self._task: gevent.Greenlet | None = None
 
     @property
-    def lease(self) -> OrderLeaseKeeper:
+    def lease(self) -> OrderLeaseManager:
         return self._lease
 
     def reconfigure(self, routing: Routing) -> None:
@@ -140,7 +140,7 @@
         return None
 
 
-def make_order_keeper(
+def make_order_controller(
     *,
     clock: Clock,
     log: LogService,
@@ -149,9 +149,9 @@
     targets: TargetDirectory,
     weights: WeightStore | None,
     backlog: BacklogView,
-) -> OrderKeeper:
+) -> OrderController:
     """Make the keeper of orders of a router; without a weight store loads are paced here."""
-    return OrderKeeper(
+    return OrderController(
         clock=clock,
         log=log,
         engine=engine,
--- a/packages/loomyard-router/src/loomyard_router/orders/order_lease_keeper.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/order_lease_manager.py
@@ -28,7 +28,7 @@
 TAKEOVER_AFTER = TERM * (1 + 2 * DRIFT) + MARGIN
 
 
-class OrderLeaseKeeper:
+class OrderLeaseManager:
     """Follow the lease in the log; hold it where this router may and nobody else does.
 
     The log decides alone. The term runs on this router's monotonic clock: for the holder from
--- a/packages/loomyard-router/src/loomyard_router/orders/order_sender.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/order_sender.py
@@ -18,7 +18,7 @@
     from loomyard.objects import Target
     from loomyard.outside.engine import Engine
     from loomyard.outside.weight_store import WeightStore
-    from loomyard_router.orders.order_lease_keeper import OrderLeaseKeeper
+    from loomyard_router.orders.order_lease_manager import OrderLeaseManager
     from loomyard_router.orders.target_view import TargetView
 
 logger = logging.getLogger(__name__)
@@ -44,7 +44,7 @@
     """
 
     def __init__(
-        self, clock: Clock, engine: Engine, weights: WeightStore, lease: OrderLeaseKeeper
+        self, clock: Clock, engine: Engine, weights: WeightStore, lease: OrderLeaseManager
     ) -> None:
         self._clock = clock
         self._engine = engine
--- a/packages/loomyard-router/src/loomyard_router/orders/wanted_services.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/refusal_notifier.py
@@ -7,7 +7,7 @@
 from attrs import frozen
 
 from loomyard_router.peers.message_types import peer_message
-from loomyard_router.shares.parents import find_allocator
+from loomyard_router.shares.allocator_selection import find_allocator
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
@@ -21,13 +21,13 @@
 
 @peer_message("wanted")
 @frozen(kw_only=True)
-class WantedNotice:
+class RefusalNotice:
     """A request of a service was refused, since no target takes work of it."""
 
     service: str
 
 
-class WantedServices:
+class RefusalNotifier:
     """Nothing queues for a service that is loaded nowhere, so refusals are told instead."""
 
     def __init__(
@@ -39,7 +39,7 @@
         self._backlog = backlog
         self._next_at: dict[str, float] = {}
         backlog.subscribe(self._tell)
-        peers.handle(WantedNotice, self._hear)
+        peers.handle(RefusalNotice, self._hear)
 
     def _tell(self, service: str) -> None:
         now = self._clock.now()
@@ -47,7 +47,7 @@
         if keeper == self._members.own.name or now < self._next_at.get(service, now):
             return
         self._next_at[service] = now + REPEAT_SECONDS
-        self._peers.send(keeper, WantedNotice(service=service))
+        self._peers.send(keeper, RefusalNotice(service=service))
 
-    def _hear(self, _: Member, notice: WantedNotice) -> None:
-        self._backlog.hear_refusal(notice.service)
+    def _hear(self, _: Member, notice: RefusalNotice) -> None:
+        self._backlog.record_remote_refusal(notice.service)
--- a/packages/loomyard-router/src/loomyard_router/parts.py
+++ b/packages/loomyard-router/src/loomyard_router/parts.py
@@ -15,7 +15,7 @@
 from loomyard_router.members.membership import Membership
 from loomyard_router.members.table_sync import TableSync
 from loomyard_router.members.vm_list_poller import VmListPoller
-from loomyard_router.orders.order_keeper import OrderKeeper
+from loomyard_router.orders.order_controller import OrderController
 from loomyard_router.peers.links import PeerLinks
 from loomyard_router.peers.traffic import TrafficCounters
 from loomyard_router.requests.journal import Journal
@@ -49,4 +49,4 @@
     traffic: TrafficCounters = field(factory=TrafficCounters)
     vm_watch: VmListPoller | None = None
     table_sync: TableSync | None = None
-    orders: OrderKeeper | None = None
+    orders: OrderController | None = None
--- a/packages/loomyard-router/src/loomyard_router/platform/targets.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/targets.py
@@ -67,4 +67,4 @@
     leaving = fields.get(names.LEAVING.lower(), "").strip() == names.IS_LEAVING
     turned_away = status == HTTPStatus.SERVICE_UNAVAILABLE
     rest = read_seconds(fields.get(names.RETRY_AFTER.lower(), "")) if turned_away else 0.0
-    return TargetNotice(leaving=leaving, rest_seconds=rest) if leaving or rest else NO_NOTICE
+    return TargetNotice(leaving=leaving, backoff_seconds=rest) if leaving or rest else NO_NOTICE
--- a/packages/loomyard-router/src/loomyard_router/requests/sender.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/sender.py
@@ -95,7 +95,7 @@
         name = admission.target.metadata.name
         call = _make_call(request, admission, number)
         self._journal.record(request.request_id, Step.SENT, f"{call.attempt_id} to {name}")
-        self._targets.note_prefix(name, request.prefix)
+        self._targets.record_prefix(name, request.prefix)
         settlement.note_sent()
         with _CancelWhenGone(request, self._engine, call):
             opened = self._engine.open(call)
@@ -122,7 +122,7 @@
             self._targets.report_leaving(name)
         rest = read_rest(headers)
         if fault is not None and fault.code is ResultCode.TARGET_REFUSED and rest:
-            self._targets.report_rest(name, self._clock.now() + rest)
+            self._targets.report_backoff(name, self._clock.now() + rest)
 
     def _fail(
         self, request: Request, call: TargetCall, settlement: Settlement, fault: Fault
--- a/packages/loomyard-router/src/loomyard_router/requests/slot_queue.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/slot_queue.py
@@ -98,7 +98,7 @@
         may_send = self._targets.may_send
         usable = [t for t in resolved.unwrap() if may_send(t.metadata.name, service)]
         if not usable:
-            self._backlog.refuse(service)
+            self._backlog.record_refusal(service)
             fault = Fault(
                 code=ResultCode.NO_TARGET,
                 detail="no target of the route takes new work now",
@@ -145,7 +145,7 @@
 
         service = waiting.service.metadata.name
         self._waiting[waiting] = need
-        self._backlog.enter(service)
+        self._backlog.add_waiting(service)
         need.request.presence.subscribe(leave)
         try:
             with Timeout(max(0.0, waiting.deadline - self._clock.now()), False):
@@ -157,7 +157,7 @@
             raise
         finally:
             self._waiting.pop(waiting, None)
-            self._backlog.leave(service)
+            self._backlog.remove_waiting(service)
             need.request.presence.unsubscribe(leave)
         return Err(
             Fault(
--- a/packages/loomyard-router/src/loomyard_router/routed/connection_pool.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/connection_pool.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from loomyard.clock import Clock
     from loomyard_router.announced.announced_target import AnnouncedTarget
-    from loomyard_router.announced.target_life import TargetLife
+    from loomyard_router.announced.target_incarnation import TargetIncarnation
 
 CONNECT_SECONDS = 0.4
 MOST_IDLE_SECONDS = 8.0
@@ -39,13 +39,13 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._watch = DeadlineWatch(clock)
-        self._idle: dict[TargetLife, list[_Idle]] = {}
+        self._idle: dict[TargetIncarnation, list[_Idle]] = {}
         self.opened = 0
 
     def take(self, target: AnnouncedTarget, *, repeatable: bool) -> TargetConnection:
         """Return a kept or a new connection. Errors: ``OSError``; nothing was sent then."""
         now = self._clock.now()
-        idle = self._idle.get(target.life, [])
+        idle = self._idle.get(target.incarnation, [])
         while idle:
             kept = idle.pop()
             young = now - kept.since <= FRESH_SECONDS
@@ -70,7 +70,7 @@
         """Keep a connection on which nothing was sent."""
         self._keep(target, connection, MOST_IDLE_SECONDS)
 
-    def forget(self, known: set[TargetLife]) -> None:
+    def forget(self, known: set[TargetIncarnation]) -> None:
         """Close what is kept to targets that are not known any more, and what is too old."""
         now = self._clock.now()
         for life, idle in list(self._idle.items()):
@@ -85,7 +85,7 @@
 
     def _keep(self, target: AnnouncedTarget, connection: TargetConnection, seconds: float) -> None:
         """Keep a connection for up to some seconds, if few are kept."""
-        idle = self._idle.setdefault(target.life, [])
+        idle = self._idle.setdefault(target.incarnation, [])
         if len(idle) >= MOST_KEPT:
             connection.close()
             return
--- a/packages/loomyard-router/src/loomyard_router/routed/early_refusal.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/early_refusal.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from loomyard_router.admission.waiting_accounts import WaitingAccounts
+    from loomyard_router.admission.account_backlog import AccountBacklog
     from loomyard_router.admission.waiting_time import RetryHint
     from loomyard_router.metrics.meters import Meters
     from loomyard_router.routed.dialects import CallerDialect
@@ -53,7 +53,7 @@
         *,
         holder: TableHolder,
         dialect: CallerDialect,
-        waiting: WaitingAccounts,
+        waiting: AccountBacklog,
         overloaded: Callable[[], bool],
         hint: RetryHint,
         meters: Meters,
@@ -71,7 +71,7 @@
     @property
     def watching(self) -> bool:
         """Tell whether a request could be refused so now."""
-        return self._waiting.crowded or self._overloaded()
+        return self._waiting.any_near_limit or self._overloaded()
 
     def judge(self, first: bytes) -> RefusedEarly | None:
         """Return the answer to a request that began with some bytes, ``None`` to read it whole."""
@@ -102,9 +102,9 @@
         account = table.authenticate(glance.key) if glance.key else None
         name = "" if account is None else account.name
         if self._overloaded():
-            fault = self._hint.refuse(ResultCode.ROUTER_OVERLOADED, "this router is behind")
+            fault = self._hint.make_refusal(ResultCode.ROUTER_OVERLOADED, "this router is behind")
         elif name and glance.prompted and self._waiting.is_full(name):
-            fault = self._hint.refuse(ResultCode.QUEUE_FULL, "too many requests wait here")
+            fault = self._hint.make_refusal(ResultCode.QUEUE_FULL, "too many requests wait here")
         else:
             return None
         self._note(fault, name, glance.attempt_id)
--- a/packages/loomyard-router/src/loomyard_router/routed/forwarder.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/forwarder.py
@@ -21,11 +21,11 @@
     import gevent
 
     from loomyard.clock import Clock
-    from loomyard_router.admission.place import Place
-    from loomyard_router.admission.place_source import PlaceSource
-    from loomyard_router.admission.target_health import TargetHealth
-    from loomyard_router.announced.target_board import TargetBoard
-    from loomyard_router.announced.target_life import TargetLife
+    from loomyard_router.admission.admission_gate import AdmissionGate
+    from loomyard_router.admission.ejection_tracker import EjectionTracker
+    from loomyard_router.admission.slot_permit import SlotPermit
+    from loomyard_router.announced.target_incarnation import TargetIncarnation
+    from loomyard_router.announced.target_registry import TargetRegistry
     from loomyard_router.crashes.crash_guard import CrashGuard
     from loomyard_router.requests.retry_budget import RetryBudget
     from loomyard_router.routed.event_pace import EventPace
@@ -63,10 +63,10 @@
         self,
         *,
         clock: Clock,
-        gate: PlaceSource,
+        gate: AdmissionGate,
         sender: Sender,
-        health: TargetHealth,
-        board: TargetBoard,
+        health: EjectionTracker,
+        registry: TargetRegistry,
         guard: CrashGuard,
         budget: RetryBudget,
         pace: EventPace,
@@ -76,7 +76,7 @@
         self._gate = gate
         self._sender = sender
         self._health = health
-        self._board = board
+        self._registry = registry
         self._guard = guard
         self._budget = budget
         self._pace = pace
@@ -99,16 +99,16 @@
         return Ok(self._pass_on(request, exchange, first))
 
     def open(
-        self, request: RoutedRequest, *, avoided: frozenset[TargetLife], last_event: str
+        self, request: RoutedRequest, *, avoided: frozenset[TargetIncarnation], last_event: str
     ) -> Result[tuple[Exchange, bytes, bool], Fault]:
         """Send until an answer has begun; return it, its first bytes and whether those are all."""
         executed = Executed.NO
         attempts = unreached = 0
         while True:
-            blocked = self._guard.judge(request)
+            blocked = self._guard.check(request)
             if blocked is not None:
                 return Err(evolve(blocked, executed=executed) if attempts else blocked)
-            taken = self._gate.take(request, avoided)
+            taken = self._gate.acquire(request, avoided)
             if taken.is_err():
                 fault = taken.unwrap_err()
                 return Err(evolve(fault, executed=executed) if attempts else fault)
@@ -117,13 +117,13 @@
                 place.return_unused()
                 fault = Fault(code=ResultCode.CALLER_GONE, detail="the caller left")
                 return Err(evolve(fault, executed=executed))
-            if not self._board.takes_work(place.target):
+            if not self._registry.is_usable(place.target):
                 # It began to leave, or asked for rest, while this request waited for the place or
                 # for its turn.
                 place.return_unused()
-                avoided = avoided | {place.target.life}
+                avoided = avoided | {place.target.incarnation}
                 continue
-            if self._guard.judge(request) is not None:
+            if self._guard.check(request) is not None:
                 # Another router learned of it while this request waited for its place.
                 place.return_unused()
                 continue
@@ -134,7 +134,7 @@
                 attempts += 1
                 if not (exchange.failed and self._may_repeat(request, attempts)):
                     return Ok((exchange, first, whole))
-                self._health.note_failure(
+                self._health.record_failure(
                     place.target, f"status {exchange.status}", unreachable=False
                 )
                 self.close(request, exchange)
@@ -158,7 +158,7 @@
                 if checking is not None:
                     # The next send must know what this one did.
                     checking.join()
-            avoided = avoided | {place.target.life}
+            avoided = avoided | {place.target.incarnation}
             if attempts:
                 self._budget.take(request.service)
 
@@ -168,16 +168,18 @@
         self._sender.finish(request, exchange)
 
     def reopen(
-        self, request: RoutedRequest, broken: Place, *, last_event: str
+        self, request: RoutedRequest, broken: SlotPermit, *, last_event: str
     ) -> Result[tuple[Exchange, bytes, bool], Fault]:
         """Go on with a broken stream at another target, if the budget allows."""
         if not self._budget.has(request.service):
             detail = "the budget for retries is spent"
             return Err(Fault(code=ResultCode.RETRY_BUDGET_SPENT, detail=detail))
         self._budget.take(request.service)
-        return self.open(request, avoided=frozenset([broken.target.life]), last_event=last_event)
+        return self.open(
+            request, avoided=frozenset([broken.target.incarnation]), last_event=last_event
+        )
 
-    def note_broken(self, request: RoutedRequest, place: Place, detail: str) -> None:
+    def note_broken(self, request: RoutedRequest, place: SlotPermit, detail: str) -> None:
         """Take in that a target broke an answer off, and find out whether it ended."""
         code = ResultCode.ANSWER_INCOMPLETE
         fault = Fault(code=code, detail=detail, executed=Executed.UNKNOWN)
@@ -185,18 +187,18 @@
         if checking is not None:
             checking.join()
 
-    def note_cut(self, request: RoutedRequest, place: Place) -> None:
+    def note_cut(self, request: RoutedRequest, place: SlotPermit) -> None:
         """Take in that a target broke off an answer that does not go on elsewhere."""
-        self._guard.note_broken(request, place.target)
+        self._guard.investigate_failure(request, place.target)
 
     def note_whole(self, request: RoutedRequest) -> None:
         """Take in that an answer came to its end."""
-        self._guard.note_whole(request)
+        self._guard.record_completion(request)
 
     def _attempt(
-        self, request: RoutedRequest, place: Place, last_event: str
+        self, request: RoutedRequest, place: SlotPermit, last_event: str
     ) -> Result[tuple[Exchange, bytes, bool], Fault]:
-        self._guard.note_sending(request)
+        self._guard.record_attempt(request)
         sent = self._sender.send(request, place, last_event=last_event, answer_by=request.deadline)
         if sent.is_err():
             return Err(sent.unwrap_err())
@@ -206,19 +208,19 @@
                 first = exchange.connection.read_block(request.deadline)
                 request.began_at = self._clock.now()
                 request.trace.answer(request.began_at)
-                place.note_answer()
-                self._health.note_answer(place.target)
-                self._guard.note_heard(place.target)
+                place.record_answer_start()
+                self._health.record_success(place.target)
+                self._guard.record_response(place.target)
                 return Ok((exchange, first, False))
             first, whole = self._hold(request, exchange)
         except ExchangeBrokenError as error:
             self._sender.finish(request, exchange)
             return Err(_broken(request, error))
-        self._guard.note_heard(place.target)
+        self._guard.record_response(place.target)
         if not exchange.failed:
-            self._health.note_answer(place.target)
+            self._health.record_success(place.target)
         if whole:
-            self._guard.note_whole(request)
+            self._guard.record_completion(request)
         return Ok((exchange, first, whole))
 
     def _hold(self, request: RoutedRequest, exchange: Exchange) -> tuple[bytes, bool]:
@@ -279,11 +281,13 @@
             return evolve(fault, retry_after=fault.retry_after or RETRY_AFTER)
         return evolve(fault, executed=executed)
 
-    def _note(self, request: RoutedRequest, place: Place, fault: Fault) -> gevent.Greenlet | None:
+    def _note(
+        self, request: RoutedRequest, place: SlotPermit, fault: Fault
+    ) -> gevent.Greenlet | None:
         """Take in a failed attempt; return what finds out whether its target ended, if it may."""
         if fault.code in _FAULTS_OF_TARGET:
             unreachable = fault.code is ResultCode.TARGET_UNREACHABLE
-            self._health.note_failure(place.target, fault.detail, unreachable=unreachable)
+            self._health.record_failure(place.target, fault.detail, unreachable=unreachable)
         more: dict[str, object] = {}
         if fault.code is ResultCode.TARGET_REFUSED:
             # A target refuses for want of a place, or for a header that it can't honour.
@@ -301,7 +305,7 @@
         )
         if fault.code not in _BREAKS:
             return None
-        return self._guard.note_broken(request, place.target)
+        return self._guard.investigate_failure(request, place.target)
 
 
 def _is_stream(exchange: Exchange) -> bool:
--- a/packages/loomyard-router/src/loomyard_router/routed/request_trace.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/request_trace.py
@@ -7,7 +7,7 @@
 from attrs import define
 
 if TYPE_CHECKING:
-    from loomyard_router.admission.place import Place
+    from loomyard_router.admission.slot_permit import SlotPermit
 
 
 @define(eq=False)
@@ -32,7 +32,7 @@
     placed_at: float | None = None
     first_at: float | None = None
 
-    def place(self, place: Place, now: float) -> None:
+    def place(self, place: SlotPermit, now: float) -> None:
         """Take in that a place was given."""
         self.target = place.target.id
         self.taken = place.taken
--- a/packages/loomyard-router/src/loomyard_router/routed/sender.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/sender.py
@@ -9,7 +9,7 @@
 from result import Err, Ok, Result
 
 from loomyard.errors import Executed, Fault, ResultCode
-from loomyard_router.admission.place import Place
+from loomyard_router.admission.slot_permit import SlotPermit
 from loomyard_router.own_time import NEGLIGIBLE_LAG, take_turn
 from loomyard_router.routed.target_connection import (
     ExchangeBrokenError,
@@ -19,7 +19,7 @@
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
-    from loomyard_router.announced.target_board import TargetBoard
+    from loomyard_router.announced.target_registry import TargetRegistry
     from loomyard_router.routed.connection_pool import ConnectionPool
     from loomyard_router.routed.dialects import TargetDialect
     from loomyard_router.routed.routed_request import RoutedRequest
@@ -32,7 +32,7 @@
 class Exchange:
     """An attempt whose answer has begun."""
 
-    place: Place
+    place: SlotPermit
     connection: TargetConnection
     status: int
     headers: list[tuple[str, str]]
@@ -47,15 +47,15 @@
     """Send requests; no attempt is ever sent twice here."""
 
     def __init__(
-        self, clock: Clock, board: TargetBoard, pool: ConnectionPool, dialect: TargetDialect
+        self, clock: Clock, registry: TargetRegistry, pool: ConnectionPool, dialect: TargetDialect
     ) -> None:
         self._clock = clock
-        self._board = board
+        self._registry = registry
         self._pool = pool
         self._dialect = dialect
 
     def send(
-        self, request: RoutedRequest, place: Place, *, last_event: str, answer_by: float
+        self, request: RoutedRequest, place: SlotPermit, *, last_event: str, answer_by: float
     ) -> Result[Exchange, Fault]:
         """Send and wait for the head of the answer.
 
@@ -96,7 +96,7 @@
     def _exchange(
         self,
         request: RoutedRequest,
-        place: Place,
+        place: SlotPermit,
         connection: TargetConnection,
         last_event: str,
         answer_by: float,
@@ -112,7 +112,7 @@
         connection.read_head(answer_by)
         headers = connection.headers
         word = self._dialect.read_word(connection.status, headers)
-        self._board.hear(place.target, word.notice)
+        self._registry.apply_notice(place.target, word.notice)
         if word.attempt_id and word.attempt_id != request.head.attempt_id:
             connection.close()
             return Err(_maybe_run(ResultCode.ANSWER_INVALID, "the answer is to another attempt"))
--- a/packages/loomyard-router/src/loomyard_router/routed_application.py
+++ b/packages/loomyard-router/src/loomyard_router/routed_application.py
@@ -14,23 +14,23 @@
 from loomyard.clock import Clock
 from loomyard.events import Event, emit
 from loomyard.util.addresses import split_address
-from loomyard_router.admission.parts import make_admission
-from loomyard_router.announced.announced_figures import AnnouncedFigures
+from loomyard_router.admission.assembly import make_admission
 from loomyard_router.announced.announced_target import AnnouncedTarget
-from loomyard_router.announced.emptied_data_centres import EmptiedDataCentres
+from loomyard_router.announced.evacuated_data_centres import EvacuatedDataCentres
 from loomyard_router.announced.leaving_exchange import LeavingExchange
-from loomyard_router.announced.order_losses import OrderLosses
-from loomyard_router.announced.target_board import TargetBoard
+from loomyard_router.announced.order_rollback_policy import OrderRollbackPolicy
 from loomyard_router.announced.target_feed import TargetFeed
-from loomyard_router.announced.target_losses import TargetLosses
+from loomyard_router.announced.target_metrics import TargetMetrics
+from loomyard_router.announced.target_registry import TargetRegistry
+from loomyard_router.announced.target_rollback_policy import TargetRollbackPolicy
 from loomyard_router.callers.in_flight import InFlight
+from loomyard_router.crashes.coalesced_probe import CoalescedProbe
 from loomyard_router.crashes.crash_archive import CrashArchive
 from loomyard_router.crashes.crash_exchange import CrashExchange
 from loomyard_router.crashes.crash_guard import CrashGuard
 from loomyard_router.crashes.crash_ledger import CrashLedger
-from loomyard_router.crashes.crash_memory import CrashMemory
-from loomyard_router.crashes.life_probe import LifeProbe
-from loomyard_router.crashes.target_check import TargetCheck
+from loomyard_router.crashes.crash_persister import CrashPersister
+from loomyard_router.crashes.liveness_probe import LivenessProbe
 from loomyard_router.feeds.fan_out_consumer import FanOutConsumer
 from loomyard_router.feeds.feed import Feed
 from loomyard_router.feeds.feed_exchange import FeedExchange
@@ -104,9 +104,9 @@
         self.closing = False
         source = random.Random()
         self.holder = TableHolder(platform.decode_table)
-        self.board = TargetBoard(clock)
-        self._emptied = EmptiedDataCentres(platform.find_emptied_data_centre)
-        self._emptied.subscribe(self.board.note_emptied)
+        self.registry = TargetRegistry(clock)
+        self._emptied = EvacuatedDataCentres(platform.find_emptied_data_centre)
+        self._emptied.subscribe(self.registry.set_evacuated)
         self._unreadable = UnreadableEntries()
         self._tables = FeedFollower(
             platform.tables,
@@ -120,16 +120,16 @@
             source,
             pace=settings.feed_pace,
             era=platform.era,
-            losses=OrderLosses(platform.find_emptied_data_centre),
+            losses=OrderRollbackPolicy(platform.find_emptied_data_centre),
         )
         self._targets = FeedFollower(
             platform.targets,
-            TargetFeed(self.board, platform.decode_target, self._unreadable),
+            TargetFeed(self.registry, platform.decode_target, self._unreadable),
             clock,
             source,
             pace=settings.feed_pace,
             era=platform.era,
-            losses=TargetLosses(platform.decode_target),
+            losses=TargetRollbackPolicy(platform.decode_target),
         )
         self._pool = ConnectionPool(clock)
         self.fleet = make_fleet_parts(_fleet_settings(settings), clock)
@@ -144,7 +144,7 @@
         self._lag = LoopLag(clock, most=settings.most_lag)
         self._admission = make_admission(
             clock=clock,
-            board=self.board,
+            registry=self.registry,
             holder=self.holder,
             members=self.members,
             peers=peers,
@@ -152,36 +152,36 @@
             source=source,
             lag=lambda: self._lag.seconds,
         )
-        self._leavings = LeavingExchange(clock, self.board, self.members)
+        self._leavings = LeavingExchange(clock, self.registry, self.members)
         self._crashes = CrashLedger(clock)
         self._crash_exchange = CrashExchange(
             clock=clock, ledger=self._crashes, members=self.members, peers=peers, source=source
         )
-        self._crash_memory: CrashMemory | None = None
+        self._crash_memory: CrashPersister | None = None
         if platform.crashes is not None:
-            self._crash_memory = CrashMemory(
+            self._crash_memory = CrashPersister(
                 clock=clock,
                 ledger=self._crashes,
                 archive=platform.crashes,
                 members=self.members,
             )
-        probe = LifeProbe(
+        probe = LivenessProbe(
             clock=clock,
-            board=self.board,
+            registry=self.registry,
             pool=self._pool,
             dialect=platform.target_dialect,
             holder=self.holder,
         )
-        self._check = TargetCheck(probe.has_ended)
+        self._check = CoalescedProbe(probe.has_ended)
         self._guard = CrashGuard(clock, self._crashes, self._check)
         self.bodies = BodyBudget(settings.body_bytes, source)
         self.unread = UnreadAnswers(clock, self.bodies)
         forwarder = Forwarder(
             clock=clock,
             gate=self._admission.gate,
-            sender=Sender(clock, self.board, self._pool, platform.target_dialect),
+            sender=Sender(clock, self.registry, self._pool, platform.target_dialect),
             health=self._admission.health,
-            board=self.board,
+            registry=self.registry,
             guard=self._guard,
             budget=RetryBudget(
                 per_request=settings.retries.ratio,
@@ -213,9 +213,9 @@
             early=EarlyRefusal(
                 holder=self.holder,
                 dialect=platform.callers,
-                waiting=self._admission.waiting,
+                waiting=self._admission.backlog,
                 overloaded=lambda: self._lag.overloaded,
-                hint=self._admission.hint,
+                hint=self._admission.retry_hint,
                 meters=meters,
             ),
             most_connections=settings.most_connections,
@@ -228,25 +228,25 @@
             traffic=self.fleet.traffic,
             in_flight=lambda: self.in_flight,
             feeds=self._exchange.states,
-            announced=AnnouncedFigures(
-                emptied=lambda: len(self._emptied.names),
-                cold=self._admission.cold.count,
-                suspected=self._crashes.suspected,
-                blocked=self._crashes.blocked,
-                lives_replaced=lambda: self.board.lives_replaced,
-                resting=lambda: self.board.notices.resting,
-                said_leaving=lambda: self.board.notices.leavings,
-                rests_asked=lambda: self.board.notices.rests,
+            announced=TargetMetrics(
+                evacuated=lambda: len(self._emptied.names),
+                cold=self._admission.cold_targets.count,
+                suspected=self._crashes.count_suspected,
+                blocked=self._crashes.count_blocked,
+                restarts=lambda: self.registry.restarts,
+                backing_off=lambda: self.registry.notices.backing_off,
+                leaving_count=lambda: self.registry.notices.leaving_count,
+                backoff_requests=lambda: self.registry.notices.backoff_requests,
                 unreadable=lambda: self._unreadable.counts,
             ),
-            places=self._admission.figures,
+            places=self._admission.slot_metrics,
             bodies=self.bodies.figures,
             unread=AnswerFigures(
                 taken_off=lambda: self.unread.taken_off,
                 given_up=lambda: self.unread.given_up,
             ),
         )
-        self.board.subscribe(self._forget)
+        self.registry.subscribe(self._forget)
 
     @property
     def port(self) -> int:
@@ -258,7 +258,7 @@
 
     @property
     def ready(self) -> bool:
-        return not self.stopping and self.holder.table is not None and self.board.ready
+        return not self.stopping and self.holder.table is not None and self.registry.ready
 
     @property
     def in_flight(self) -> int:
@@ -349,11 +349,11 @@
         return len(self.members.live())
 
     def _forget(self) -> None:
-        known = {target.life for target in self.board.known()}
+        known = {target.incarnation for target in self.registry.listed()}
         self._pool.forget(known)
-        self._check.forget(known)
-        self._guard.note_known(known)
-        self._admission.forget(known)
+        self._check.retain(known)
+        self._guard.update_known(known)
+        self._admission.retain(known)
 
 
 def _fleet_settings(settings: RoutedSettings) -> Settings:
--- a/packages/loomyard-router/src/loomyard_router/shares/fleet.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/fleet.py
@@ -12,6 +12,7 @@
 from loomyard_router.shares.account_levels import AccountLevels
 from loomyard_router.shares.admission import Admission
 from loomyard_router.shares.allocator import Allocator
+from loomyard_router.shares.allocator_selection import find_allocator
 from loomyard_router.shares.capacity import Capacity
 from loomyard_router.shares.fleet_size import FleetSize
 from loomyard_router.shares.floor_admission import FloorAdmission
@@ -20,7 +21,6 @@
 from loomyard_router.shares.messages import ShareReply, ShareReport, ShareReset
 from loomyard_router.shares.overdue import Overdue
 from loomyard_router.shares.pacing import Pacer
-from loomyard_router.shares.parents import find_allocator
 from loomyard_router.shares.reporter import Reporter
 from loomyard_router.shares.request_queues import RequestQueues
 from loomyard_router.shares.share_sender import ShareSender
--- a/packages/loomyard-router/src/loomyard_router/targets/directory.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/directory.py
@@ -26,13 +26,13 @@
     def holds_prefix(self, name: str, prefix: str) -> bool:
         """Tell whether a target probably caches a prompt prefix."""
 
-    def note_prefix(self, name: str, prefix: str) -> None:
+    def record_prefix(self, name: str, prefix: str) -> None:
         """Take in that a request with a prefix was sent to a target."""
 
     def report_leaving(self, name: str) -> None:
         """Take in that a target says, or a peer heard, that it is leaving."""
 
-    def report_rest(self, name: str, until: float) -> None:
+    def report_backoff(self, name: str, until: float) -> None:
         """Take in that a target wants nothing from this router until then."""
 
     def report_attempt(self, name: str, *, answered: bool) -> None:
@@ -73,13 +73,13 @@
     def holds_prefix(self, name: str, prefix: str) -> bool:
         return False
 
-    def note_prefix(self, name: str, prefix: str) -> None:
+    def record_prefix(self, name: str, prefix: str) -> None:
         pass
 
     def report_leaving(self, name: str) -> None:
         pass
 
-    def report_rest(self, name: str, until: float) -> None:
+    def report_backoff(self, name: str, until: float) -> None:
         pass
 
     def report_attempt(self, name: str, *, answered: bool) -> None:
--- a/packages/loomyard-router/src/loomyard_router/targets/known_targets.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/known_targets.py
@@ -97,7 +97,7 @@
     def holds_prefix(self, name: str, prefix: str) -> bool:
         return self._prefixes.holds(name, prefix)
 
-    def note_prefix(self, name: str, prefix: str) -> None:
+    def record_prefix(self, name: str, prefix: str) -> None:
         if prefix:
             self._prefixes.note(name, prefix)
             self._caches.note_send(name)
@@ -106,7 +106,7 @@
         if name in self._targets:
             self._leaving.see_leaving(name, self._versions[name])
 
-    def report_rest(self, name: str, until: float) -> None:
+    def report_backoff(self, name: str, until: float) -> None:
         if name in self._targets and self._resting.rest(name, until):
             seconds = round(until - self._clock.now(), 3)
             emit(logger, Event.TARGET_ASKS_FOR_REST, target=name, seconds=seconds)
@@ -125,7 +125,7 @@
         """Return how each target stands here, by name."""
         return [self._status(name) for name in sorted(self._targets)]
 
-    def take_vms(self, listed: list[Vm]) -> None:
+    def apply_vm_list(self, listed: list[Vm]) -> None:
         """Take in a reading of the VM list."""
         self._vms.take(listed, self._vm_names())
 
--- a/packages/loomyard-router/src/loomyard_router/targets/slot_book.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/slot_book.py
@@ -7,7 +7,7 @@
 from attrs import define
 
 from loomyard import rendezvous
-from loomyard_router.shares.parents import ALLOCATOR_KEY
+from loomyard_router.shares.allocator_selection import ALLOCATOR_KEY
 from loomyard_router.targets.slot_estimate import SlotEstimate
 from loomyard_router.targets.slots_notice import SlotsNotice
 
--- a/packages/loomyard-standins/src/loomyard_standins/benches/locality.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/locality.py
@@ -98,7 +98,7 @@
         self.waits.record_value(_milliseconds(started))
         name = target.metadata.name
         if self.mode.locality:
-            router.note_prefix(name, prefix)
+            router.record_prefix(name, prefix)
         call = TargetCall(
             attempt_id=f"{self.mode.name}-{number}",
             url=target.url,
--- a/packages/loomyard-standins/src/loomyard_standins/benches/orders.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/orders.py
@@ -16,7 +16,7 @@
 from geventhttpclient import HTTPClient  # noqa: E402
 
 from loomyard.objects import ConfigObject, Metadata, Route, Service, Target  # noqa: E402
-from loomyard_router.shares.parents import find_allocator  # noqa: E402
+from loomyard_router.shares.allocator_selection import find_allocator  # noqa: E402
 from loomyard_standins.engine import EngineServer  # noqa: E402
 from loomyard_standins.fleet import StandinFleet, sample_key, start_fleet  # noqa: E402
 
--- a/packages/loomyard-standins/src/loomyard_standins/faults/hastened_times.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/hastened_times.py
@@ -6,8 +6,8 @@
 
 from loomyard_router.configuration import snapshot_writer
 from loomyard_router.orders import (
-    order_keeper,
-    order_lease_keeper,
+    order_controller,
+    order_lease_manager,
     order_planner,
     order_sender,
 )
@@ -18,8 +18,8 @@
 HASTENED_RETENTION = 8.0
 HASTENED: dict[ModuleType, dict[str, float]] = {
     snapshot_writer: {"CHECK_SECONDS": 1.0},
-    order_keeper: {"STEP_SECONDS": 0.2},
-    order_lease_keeper: {"TERM": 2.0, "RENEW_AFTER": 0.6, "MARGIN": 0.4, "TAKEOVER_AFTER": 2.5},
+    order_controller: {"STEP_SECONDS": 0.2},
+    order_lease_manager: {"TERM": 2.0, "RENEW_AFTER": 0.6, "MARGIN": 0.4, "TAKEOVER_AFTER": 2.5},
     order_planner: {"BACKLOG_SECONDS": 1.0, "IDLE_SECONDS": 1.0, "DWELL_SECONDS": 2.0},
     order_sender: {"ORDER_SECONDS": 0.6, "LOAD_SECONDS": 2.0, "RETRY_SECONDS": 0.4},
 }
--- a/packages/loomyard-standins/src/loomyard_standins/share_driver.py
+++ b/packages/loomyard-standins/src/loomyard_standins/share_driver.py
@@ -14,6 +14,7 @@
 from loomyard.routing import Routing
 from loomyard_router.members.membership import Member
 from loomyard_router.requests.estimates import CostEstimates
+from loomyard_router.shares.allocator_selection import find_allocator
 from loomyard_router.shares.fifo import make_fifo_policy
 from loomyard_router.shares.fleet import (
     BYTES_PER_SECOND,
@@ -22,7 +23,6 @@
     make_fleet_policy,
 )
 from loomyard_router.shares.local import make_local_policy
-from loomyard_router.shares.parents import find_allocator
 from loomyard_router.shares.waiting import WaitingRequest
 from loomyard_router.targets.directory import ConfiguredTargets, make_configured_targets
 from loomyard_standins.immediate_result import ImmediateResult
--- a/tests/test_loomyard_router/test_admission/places_case.py
+++ b/tests/test_loomyard_router/test_admission/slots_case.py
@@ -6,18 +6,18 @@
 
 from result import Ok
 
+from loomyard_router.admission.account_backlog import AccountBacklog
+from loomyard_router.admission.ejection_tracker import EjectionTracker
 from loomyard_router.admission.fleet_gate import FleetGate
 from loomyard_router.admission.place_client import PlaceClient
 from loomyard_router.admission.place_keeper import PlaceKeeper
 from loomyard_router.admission.share_ledger import ShareLedger
-from loomyard_router.admission.target_health import TargetHealth
 from loomyard_router.admission.target_loads import TargetLoads
 from loomyard_router.admission.target_paces import TargetPaces
-from loomyard_router.admission.waiting_accounts import WaitingAccounts
 from loomyard_router.admission.waiting_time import RetryHint
 from loomyard_router.announced.announced_target import AnnouncedTarget
 from loomyard_router.announced.cold_targets import ColdTargets
-from loomyard_router.announced.target_board import TargetBoard
+from loomyard_router.announced.target_registry import TargetRegistry
 from loomyard_router.members.membership import Member, SoleMembership
 from loomyard_router.requests.presence import CallerPresence
 from loomyard_router.routed.request_head import RequestHead
@@ -74,13 +74,13 @@
         clock = fleet.clock
         self.members = Members(own, fleet.members)
         self.peers = fleet.network.join(own)
-        self.board = TargetBoard(clock)
-        self.board.replace_all(fleet.targets)
-        self.cold = ColdTargets(clock, self.board, fleet.holder)
+        self.registry = TargetRegistry(clock)
+        self.registry.replace_all(fleet.targets)
+        self.cold = ColdTargets(clock, self.registry, fleet.holder)
         self.paces = TargetPaces()
         self.keeper = PlaceKeeper(
             clock=clock,
-            board=self.board,
+            registry=self.registry,
             members=self.members,
             peers=self.peers,
             cold=self.cold,
@@ -103,12 +103,12 @@
         )
         self.gate = FleetGate(
             clock=clock,
-            board=self.board,
-            health=TargetHealth(clock),
+            registry=self.registry,
+            health=EjectionTracker(clock),
             loads=TargetLoads(lambda: len(fleet.members)),
             client=self.client,
             ledger=self.ledger,
-            waiting=WaitingAccounts(self.ledger),
+            waiting=AccountBacklog(self.ledger),
             hint=RetryHint(random.Random(1)),
             cold=self.cold,
             paces=self.paces,
--- a/tests/test_loomyard_router/test_admission/test_apart.py
+++ b/tests/test_loomyard_router/test_admission/test_apart.py
@@ -11,13 +11,13 @@
 
 from loomyard_router.admission.place_book import APART_SECONDS
 from loomyard_router.admission.place_client import APART_LEVEL
-from test_loomyard_router.test_admission.places_case import SLOTS, Fleet
+from test_loomyard_router.test_admission.slots_case import SLOTS, Fleet
 
 if TYPE_CHECKING:
     from result import Result
 
     from loomyard.errors import Fault
-    from loomyard_router.admission.place import Place
+    from loomyard_router.admission.slot_permit import SlotPermit
 
 OBJECTIVE = 0.02
 
@@ -26,11 +26,11 @@
     def setUp(self) -> None:
         self.fleet = Fleet(2)
 
-    def take(self, number: int, suspicion: int, **head: object) -> Result[Place, Fault]:
+    def take(self, number: int, suspicion: int, **head: object) -> Result[SlotPermit, Fault]:
         request = self.fleet.request(number=number, objective=OBJECTIVE, **head)
         request.body = f"body {number}".encode()
         request.suspicion = suspicion
-        return self.fleet.routers[number % 3].gate.take(request, frozenset())
+        return self.fleet.routers[number % 3].gate.acquire(request, frozenset())
 
     def test_two_of_them_never_begin_at_one_target(self) -> None:
         first, second = (self.take(n, APART_LEVEL).unwrap() for n in range(2))
@@ -56,13 +56,13 @@
         A harmless one had run at all three ends with the guilty one then, and was refused with it.
         """
         fleet = Fleet(1)
-        keeper = fleet.routers[0].client.keeper_of(fleet.targets[0].life)
+        keeper = fleet.routers[0].client.owner_of(fleet.targets[0].incarnation)
         router = next(one for one in fleet.routers if one.members.own.name != keeper)
         fleet.network.cut({keeper}, {router.members.own.name})
         for suspicion, placed in ((APART_LEVEL, False), (0, True)):
             request = fleet.request(number=suspicion, objective=OBJECTIVE)
             request.suspicion = suspicion
-            self.assertEqual(placed, router.gate.take(request, frozenset()).is_ok())
+            self.assertEqual(placed, router.gate.acquire(request, frozenset()).is_ok())
 
     def test_those_that_ran_together_go_different_ways_though_they_share_a_prompt(self) -> None:
         fleet = Fleet(6, slots=100)
@@ -71,7 +71,7 @@
             request = fleet.request(number=number)
             request.body = f"body {number}".encode()
             request.suspicion = 1
-            targets.add(fleet.routers[0].gate.take(request, frozenset()).unwrap().target.id)
+            targets.add(fleet.routers[0].gate.acquire(request, frozenset()).unwrap().target.id)
         self.assertEqual(6, len(targets))
 
 
--- a/tests/test_loomyard_router/test_admission/test_engine_choice.py
+++ b/tests/test_loomyard_router/test_admission/test_engine_choice.py
@@ -8,7 +8,7 @@
 from loomyard_router.admission.fleet_gate import MOST_OTHERS, MOST_OTHERS_OWN
 from loomyard_router.admission.place_messages import PlaceRequest, PlacesHeld, PromptsRead
 from loomyard_router.routed.request_head import PromptPart
-from test_loomyard_router.test_admission.places_case import SLOTS, Fleet
+from test_loomyard_router.test_admission.slots_case import SLOTS, Fleet
 
 if TYPE_CHECKING:
     from loomyard_router.announced.announced_target import AnnouncedTarget
@@ -80,7 +80,7 @@
     def test_equal_prompts_go_to_one_engine(self) -> None:
         parts = (PromptPart("shared", 100), PromptPart("own", 10))
         chosen = {
-            router.gate.take(self.fleet.request(number=n, prompt=parts), frozenset())
+            router.gate.acquire(self.fleet.request(number=n, prompt=parts), frozenset())
             .unwrap()
             .target.id
             for n, router in enumerate(self.fleet.routers)
@@ -112,7 +112,7 @@
         self.fleet.routers[0].ledger.ask(account, 1000.0)
         parts = (PromptPart("shared", 1000), PromptPart("own", own))
         request = self.fleet.request(account, prompt=parts, prompt_tokens=1000 + own)
-        self.assertTrue(self.fleet.routers[0].gate.take(request, frozenset()).is_err())
+        self.assertTrue(self.fleet.routers[0].gate.acquire(request, frozenset()).is_err())
         tried, self.asked = len(set(self.asked)), []
         return tried
 
--- a/tests/test_loomyard_router/test_admission/test_gap_bound.py
+++ b/tests/test_loomyard_router/test_admission/test_gap_bound.py
@@ -40,7 +40,7 @@
                 account, router = asks[(turn + 5 * tick) % len(asks)]
                 ledger = self.ledgers[router]
                 ledger.ask(account, COST)
-                if places and not ledger.outran(account):
+                if places and not ledger.exceeds_usage_cap(account):
                     places -= 1
                     ledger.give(account, COST)
                     got[account] += COST
--- a/tests/test_loomyard_router/test_admission/test_keeper_pauses.py
+++ b/tests/test_loomyard_router/test_admission/test_keeper_pauses.py
@@ -11,26 +11,26 @@
 import gevent
 
 from loomyard_router.admission.place_keeper import SILENCE_SECONDS, SWEEP_SECONDS
-from test_loomyard_router.test_admission.places_case import SLOTS, Fleet
+from test_loomyard_router.test_admission.slots_case import SLOTS, Fleet
 
 
 class KeeperPauseTest(unittest.TestCase):
     def setUp(self) -> None:
         self.fleet = Fleet(1)
-        life = self.fleet.targets[0].life
+        life = self.fleet.targets[0].incarnation
         by_name = {router.members.own.name: router for router in self.fleet.routers}
-        keeper = self.fleet.routers[0].client.keeper_of(life)
+        keeper = self.fleet.routers[0].client.owner_of(life)
         self.keeper = by_name.pop(keeper)
         self.holder = next(iter(by_name.values()))
         for number in range(SLOTS):
-            self.holder.gate.take(self.fleet.request(number=number), frozenset()).unwrap()
+            self.holder.gate.acquire(self.fleet.request(number=number), frozenset()).unwrap()
         self.keeper.keeper.start()
         self.addCleanup(self.keeper.keeper.stop)
         gevent.sleep(0)
 
     def has_place(self) -> bool:
         request = self.fleet.request(number=99, objective=0.01)
-        return self.keeper.gate.take(request, frozenset()).is_ok()
+        return self.keeper.gate.acquire(request, frozenset()).is_ok()
 
     def pass_time(self, seconds: float) -> None:
         self.fleet.clock.advance(seconds)
--- a/tests/test_loomyard_router/test_admission/test_places.py
+++ b/tests/test_loomyard_router/test_admission/test_places.py
@@ -8,13 +8,13 @@
 from attrs import evolve
 
 from loomyard.errors import ResultCode
+from loomyard_router.admission.account_backlog import MAX_WAITING
 from loomyard_router.admission.place_keeper import SILENCE_SECONDS
 from loomyard_router.admission.place_messages import PlacesHeld
-from loomyard_router.admission.target_loads import LEAST_PLACES
-from loomyard_router.admission.waiting_accounts import MOST_WAITING
+from loomyard_router.admission.target_loads import MIN_SLOTS
 from loomyard_router.announced.target_notice import TargetNotice
 from loomyard_router.members.membership import Member
-from test_loomyard_router.test_admission.places_case import SLOTS, Fleet
+from test_loomyard_router.test_admission.slots_case import SLOTS, Fleet
 
 # Well before the request would be refused, and longer than a busy machine takes to send it on.
 WAIT = 3.0
@@ -26,7 +26,7 @@
 
     def take(self, router: int, **options: object):  # noqa: ANN201
         request = self.fleet.request(**options)  # type: ignore[arg-type]
-        return self.fleet.routers[router].gate.take(request, frozenset())
+        return self.fleet.routers[router].gate.acquire(request, frozenset())
 
     def test_the_fleet_shares_the_slots_whoever_asks(self) -> None:
         taken = [self.take(0, number=n) for n in range(SLOTS)]
@@ -39,25 +39,27 @@
 
     def test_with_its_keeper_silent_a_router_waits_for_its_own_part(self) -> None:
         """A router that all callers of an account met refused half of them within 28 ms."""
-        life = self.fleet.targets[0].life
-        keeper = self.fleet.routers[0].client.keeper_of(life)
+        life = self.fleet.targets[0].incarnation
+        keeper = self.fleet.routers[0].client.owner_of(life)
         router = next(one for one in self.fleet.routers if one.members.own.name != keeper)
         self.fleet.network.cut({keeper}, {router.members.own.name})
         own = [
-            router.gate.take(self.fleet.request(number=n), frozenset()).unwrap()
-            for n in range(LEAST_PLACES)
+            router.gate.acquire(self.fleet.request(number=n), frozenset()).unwrap()
+            for n in range(MIN_SLOTS)
         ]
         gevent.spawn_later(0.01, own[0].release)
         request = self.fleet.request(number=9, objective=2.0)
-        self.assertTrue(router.gate.take(request, frozenset()).is_ok())
+        self.assertTrue(router.gate.acquire(request, frozenset()).is_ok())
 
     def test_who_waits_at_a_target_that_begins_to_leave_is_sent_on_at_once(self) -> None:
         """Else it waits for a place that it may not use, while others have some."""
         target = self.fleet.targets[0]
         changes = {
-            "its entry says so": lambda board: board.apply([evolve(target, draining=True)], []),
-            "it said so": lambda board: board.hear(target, TargetNotice(leaving=True)),
-            "its data centre is emptied": lambda board: board.note_emptied(frozenset([""])),
+            "its entry says so": lambda registry: registry.apply(
+                [evolve(target, draining=True)], []
+            ),
+            "it said so": lambda registry: registry.hear(target, TargetNotice(leaving=True)),
+            "its data centre is emptied": lambda registry: registry.note_emptied(frozenset([""])),
         }
         for change, make in changes.items():
             with self.subTest(change=change):
@@ -68,7 +70,7 @@
                 gevent.sleep(0.01)
                 self.assertFalse(waiting.ready())
                 for router in self.fleet.routers:
-                    make(router.board)
+                    make(router.registry)
                 self.assertTrue(waiting.get(timeout=WAIT).is_err())
 
     def test_one_that_rests_at_its_keeper_s_router_serves_others(self) -> None:
@@ -76,7 +78,7 @@
         keeper = self.keeper_name(target.id)
         for router in self.fleet.routers:
             if router.members.own.name == keeper:
-                router.board.hear(target, TargetNotice(rest_seconds=60.0))
+                router.registry.apply_notice(target, TargetNotice(backoff_seconds=60.0))
         taken = [self.take(number, number=number).is_ok() for number in range(3)]
         self.assertEqual(2, sum(taken))
 
@@ -162,7 +164,7 @@
     def test_a_caller_that_goes_while_it_waits_gets_no_place(self) -> None:
         places = [self.take(0, number=n).unwrap() for n in range(SLOTS)]
         request = self.fleet.request(number=9)
-        waiting = gevent.spawn(self.fleet.routers[1].gate.take, request, frozenset())
+        waiting = gevent.spawn(self.fleet.routers[1].gate.acquire, request, frozenset())
         gevent.sleep(0.01)
         request.presence.leave()
         places[0].release()
@@ -174,7 +176,7 @@
         places = [self.take(0, number=n).unwrap() for n in range(SLOTS)]
         # Long waits, so that none ends by itself however busy the machine is.
         waiting = [
-            gevent.spawn(self.take, 1, number=n, objective=100.0) for n in range(MOST_WAITING)
+            gevent.spawn(self.take, 1, number=n, objective=100.0) for n in range(MAX_WAITING)
         ]
         self.addCleanup(gevent.killall, waiting)
         entered = self.fleet.routers[1].gate._waiting
@@ -232,7 +234,7 @@
         return given
 
     def keeper_name(self, target: str) -> str:
-        return self.fleet.routers[0].client.keeper_of(target)
+        return self.fleet.routers[0].client.owner_of(target)
 
 
 if __name__ == "__main__":
--- a/tests/test_loomyard_router/test_admission/test_prompt_queue.py
+++ b/tests/test_loomyard_router/test_admission/test_prompt_queue.py
@@ -4,10 +4,10 @@
 
 import unittest
 
+from loomyard_router.admission.prefill_estimate import PrefillEstimate
 from loomyard_router.admission.prompt_queue import PromptQueue
-from loomyard_router.admission.reading_pace import ReadingPace
 
-PACE = ReadingPace(0.0, 10_000.0)
+PACE = PrefillEstimate(0.0, 10_000.0)
 
 
 def ticket(number: int) -> tuple[str, int, int]:
--- a/tests/test_loomyard_router/test_admission/test_share_ledger.py
+++ b/tests/test_loomyard_router/test_admission/test_share_ledger.py
@@ -7,12 +7,12 @@
 from collections import Counter
 
 from loomyard_router.admission.share_ledger import MOST_ACCOUNTS, STALE_WORD_SECONDS, ShareLedger
-from loomyard_router.admission.share_messages import ShareReport
+from loomyard_router.admission.share_messages import UsageReport
 from loomyard_router.admission.share_tree import find_parent
 from loomyard_router.members.membership import Member
 from loomyard_standins.fake_clock import FakeClock
 from loomyard_standins.memory_network import MemoryNetwork
-from test_loomyard_router.test_admission.places_case import Members
+from test_loomyard_router.test_admission.slots_case import Members
 
 WINDOW = 4.0
 RATE = 100.0
@@ -67,7 +67,7 @@
         self.report()
         self.assertEqual({True}, self.beyond("large"))
         self.assertEqual({False}, self.beyond("small"))
-        self.assertAlmostEqual(300.0, self.ledgers[1].level("large"), delta=2)
+        self.assertAlmostEqual(300.0, self.ledgers[1].usage("large"), delta=2)
         # A small account asked 150 of 400 tokens, so the share is 250.
         self.assertAlmostEqual(1.2, self.ledgers[1].share_used("large"), delta=0.02)
 
@@ -79,8 +79,8 @@
         self.report()
         self.assertEqual({True}, self.beyond("flood"))
         self.assertEqual({True}, self.beyond("single"))
-        self.assertEqual([True] * 3, [one.far_beyond("flood") for one in self.ledgers])
-        self.assertEqual([False] * 3, [one.far_beyond("single") for one in self.ledgers])
+        self.assertEqual([True] * 3, [one.is_far_over_share("flood") for one in self.ledgers])
+        self.assertEqual([False] * 3, [one.is_far_over_share("single") for one in self.ledgers])
 
     def test_what_was_given_since_the_last_word_counts(self) -> None:
         self.use(0, "large", 100.0)
@@ -98,11 +98,11 @@
             self.use(router, "large", 200.0)
         self.report(1)
         for ledger in self.ledgers:
-            self.assertGreaterEqual(ledger.level("large"), 199.0)
+            self.assertGreaterEqual(ledger.usage("large"), 199.0)
         self.network.heal()
         self.report()
         for ledger in self.ledgers:
-            self.assertAlmostEqual(600.0, ledger.level("large"), delta=3)
+            self.assertAlmostEqual(600.0, ledger.usage("large"), delta=3)
 
     def test_after_its_window_an_account_is_within_again(self) -> None:
         for router in range(3):
@@ -134,7 +134,7 @@
         for name in ("r0", "r1", "r2"):
             self.network.leave(name)
         self.clock.advance(STALE_WORD_SECONDS + 0.1)
-        below = [one for one in self.ledgers if one.level("large") > 0 and not self.is_top(one)]
+        below = [one for one in self.ledgers if one.usage("large") > 0 and not self.is_top(one)]
         for ledger in below:
             ledger.step()
         self.assertEqual([False, False], [ledger.beyond("large") for ledger in below])
@@ -152,7 +152,7 @@
         for ledger in rest + rest:
             ledger.step()
         for ledger in rest:
-            self.assertAlmostEqual(400.0, ledger.level("large"), delta=2)
+            self.assertAlmostEqual(400.0, ledger.usage("large"), delta=2)
             self.assertFalse(ledger.beyond("large"))
 
     def test_routers_that_report_to_each_other_count_nothing_twice(self) -> None:
@@ -165,17 +165,17 @@
             ledger._parent = ledger._parent or next(n for n in names if n != top)
         self.report(8)
         for ledger in self.ledgers:
-            self.assertLessEqual(ledger.level("large"), 203.0)
+            self.assertLessEqual(ledger.usage("large"), 203.0)
 
     def test_a_report_is_bounded(self) -> None:
         below = next(one for one in self.ledgers if not self.is_top(one))
         for number in range(MOST_ACCOUNTS + 50):
             below.ask(f"a{number}", 10.0 + number)
-        reports: list[ShareReport] = []
+        reports: list[UsageReport] = []
         for ledger in self.ledgers:
             take = ledger.take_report
             ledger._peers.handle(
-                ShareReport, lambda m, r, take=take: (reports.append(r), take(m, r))[1]
+                UsageReport, lambda m, r, take=take: (reports.append(r), take(m, r))[1]
             )
         below.step()
         self.assertEqual(MOST_ACCOUNTS, len(reports[0].asked))
@@ -194,7 +194,7 @@
             self.ledgers[router].ask("large", 100.0)
         self.report(4)
         for ledger in self.ledgers:
-            self.assertAlmostEqual(600.0, ledger.level("large"), delta=self.routers)
+            self.assertAlmostEqual(600.0, ledger.usage("large"), delta=self.routers)
         self.assertEqual({True}, self.beyond("large"))
 
     def test_nobody_hears_much_more_than_the_root_of_the_fleet(self) -> None:
--- a/tests/test_loomyard_router/test_admission/test_silent_keepers.py
+++ b/tests/test_loomyard_router/test_admission/test_silent_keepers.py
@@ -12,8 +12,8 @@
 import gevent
 
 from loomyard_router.admission.keeper_watch import PROBE_SECONDS
-from loomyard_router.admission.target_loads import LEAST_PLACES
-from test_loomyard_router.test_admission.places_case import SLOTS, Fleet, Router
+from loomyard_router.admission.target_loads import MIN_SLOTS
+from test_loomyard_router.test_admission.slots_case import SLOTS, Fleet, Router
 
 ROUTERS = 5
 
@@ -21,8 +21,8 @@
 class SilentKeeperTest(unittest.TestCase):
     def setUp(self) -> None:
         self.fleet = Fleet(1, ROUTERS)
-        self.life = self.fleet.targets[0].life
-        self.keeper = self.fleet.routers[0].client.keeper_of(self.life)
+        self.life = self.fleet.targets[0].incarnation
+        self.keeper = self.fleet.routers[0].client.owner_of(self.life)
         self.others = [one for one in self.fleet.routers if one.members.own.name != self.keeper]
         self.names = {one.members.own.name for one in self.others}
 
@@ -31,7 +31,7 @@
 
     def take(self, router: Router, number: int) -> bool:
         request = self.fleet.request(number=number, objective=0.01)
-        return router.gate.take(request, frozenset()).is_ok()
+        return router.gate.acquire(request, frozenset()).is_ok()
 
     def take_in_turn(self, count: int) -> int:
         return sum(self.take(self.others[n % len(self.others)], n) for n in range(count))
@@ -39,14 +39,14 @@
     def test_all_that_miss_it_find_one_router_in_its_stead(self) -> None:
         self.cut_keeper()
         self.assertEqual(SLOTS, self.take_in_turn(3 * SLOTS))
-        self.assertEqual(1, len({one.client.keeper_of(self.life) for one in self.others}))
+        self.assertEqual(1, len({one.client.owner_of(self.life) for one in self.others}))
 
     def test_what_was_held_before_is_told_to_it(self) -> None:
         self.assertTrue(self.take(self.others[0], 0))
         self.assertTrue(self.take(self.others[1], 1))
         self.cut_keeper()
         for router in self.others[:2]:
-            router.client._watch.note_silence(self.keeper, "cut")
+            router.client._owner_health.note_silence(self.keeper, "cut")
         gevent.sleep(0.01)
         self.assertEqual(SLOTS - 2, self.take_in_turn(3 * SLOTS))
 
@@ -59,7 +59,7 @@
         gevent.sleep(0.05)
         for router in self.others:
             self.assertEqual(frozenset(), router.client.silent)
-            self.assertEqual(self.keeper, router.client.keeper_of(self.life))
+            self.assertEqual(self.keeper, router.client.owner_of(self.life))
         self.assertEqual(0, self.take_in_turn(SLOTS))
 
     def test_while_it_is_silent_it_stays_left_alone(self) -> None:
@@ -74,7 +74,7 @@
         alone = self.others[0]
         rest = {one.name for one in self.fleet.members} - {alone.members.own.name}
         self.fleet.network.cut({alone.members.own.name}, rest)
-        self.assertEqual(LEAST_PLACES, sum(self.take(alone, n) for n in range(2 * SLOTS)))
+        self.assertEqual(MIN_SLOTS, sum(self.take(alone, n) for n in range(2 * SLOTS)))
 
 
 if __name__ == "__main__":
--- a/tests/test_loomyard_router/test_admission/test_small_prompts_of_a_crowd.py
+++ b/tests/test_loomyard_router/test_admission/test_small_prompts_of_a_crowd.py
@@ -17,7 +17,7 @@
 import gevent
 
 from loomyard_router.admission.place_messages import PlaceRequest, PlacesReleased, PromptsRead
-from test_loomyard_router.test_admission.places_case import Fleet
+from test_loomyard_router.test_admission.slots_case import Fleet
 
 SLOTS = 48
 # An engine reads so many tokens a millisecond, beside what it generates.
@@ -46,7 +46,7 @@
         self.tickets += 1
         ticket = self.tickets
         request = PlaceRequest(
-            target=self.fleet.targets[0].life,
+            target=self.fleet.targets[0].incarnation,
             slots=SLOTS,
             ticket=ticket,
             level=level,
--- a/tests/test_loomyard_router/test_admission/test_target_paces.py
+++ b/tests/test_loomyard_router/test_admission/test_target_paces.py
@@ -5,13 +5,13 @@
 import unittest
 
 from loomyard_router.admission.place_messages import PlaceRequest, PlacesReleased, PromptsRead
-from loomyard_router.admission.reading_pace import ReadingPace
+from loomyard_router.admission.prefill_estimate import PrefillEstimate
 from loomyard_router.admission.target_paces import TargetPaces
-from loomyard_router.announced.target_life import TargetLife
-from test_loomyard_router.test_admission.places_case import Fleet
+from loomyard_router.announced.target_incarnation import TargetIncarnation
+from test_loomyard_router.test_admission.slots_case import Fleet
 
-SLOW, USUAL, FAST = (ReadingPace(0.02, pace) for pace in (35_000.0, 50_000.0, 85_000.0))
-LIVES = [TargetLife(name) for name in ("a", "b", "c", "d")]
+SLOW, USUAL, FAST = (PrefillEstimate(0.02, pace) for pace in (35_000.0, 50_000.0, 85_000.0))
+LIVES = [TargetIncarnation(name) for name in ("a", "b", "c", "d")]
 
 
 class TargetPacesTest(unittest.TestCase):
@@ -26,7 +26,7 @@
 
     def test_a_small_change_moves_no_weight(self) -> None:
         before = self.paces.weights(LIVES)
-        self.paces.hear(LIVES[0], ReadingPace(0.02, 37_000.0))
+        self.paces.hear(LIVES[0], PrefillEstimate(0.02, 37_000.0))
         self.assertEqual(before, self.paces.weights(LIVES))
 
     def test_one_of_which_nothing_was_heard_is_believed_the_usual(self) -> None:
@@ -41,8 +41,8 @@
 class HandedOverTest(unittest.TestCase):
     def test_the_next_keeper_begins_with_what_was_heard(self) -> None:
         fleet = Fleet(1)
-        life = fleet.targets[0].life
-        first = fleet.routers[0].client.keeper_of(life)
+        life = fleet.targets[0].incarnation
+        first = fleet.routers[0].client.owner_of(life)
         keeper = next(one for one in fleet.routers if one.members.own.name == first)
         others = [one for one in fleet.routers if one is not keeper]
         asker = others[0].members.own
@@ -53,7 +53,7 @@
             keeper.keeper.note_read(asker, PromptsRead(tickets=[number]))
             keeper.keeper.release(asker, PlacesReleased(tickets=[number]))
         request = fleet.request(prompt_tokens=5_000, objective=9.0)
-        others[0].gate.take(request, frozenset()).unwrap()
+        others[0].gate.acquire(request, frozenset()).unwrap()
         heard = others[0].paces.all()[life]
         self.assertAlmostEqual(0.25, heard.seconds(5_000), delta=0.05)
         fleet.network.leave(first)
@@ -62,7 +62,7 @@
             router.members.change(live)
         fleet.clock.advance(0.0)
         following = next(
-            one for one in others if one.members.own.name == others[0].client.keeper_of(life)
+            one for one in others if one.members.own.name == others[0].client.owner_of(life)
         )
         self.assertEqual(heard, following.keeper._books[life].prompts.model.believed)
 
--- a/tests/test_loomyard_router/test_admission/test_unlike_targets.py
+++ b/tests/test_loomyard_router/test_admission/test_unlike_targets.py
@@ -17,7 +17,7 @@
 from loomyard_router.admission import place_client
 from loomyard_router.admission.place_client import Verdict
 from loomyard_router.routed.request_head import PromptPart
-from test_loomyard_router.test_admission.places_case import Fleet, Router
+from test_loomyard_router.test_admission.slots_case import Fleet, Router
 
 ROUTERS = 20
 PROMPTS_PER_SECOND = (10.0, 10.0, 40.0)
@@ -168,8 +168,8 @@
         self.assertGreaterEqual(self.play(0.4), IN_TIME)
 
     def test_after_the_keeper_of_the_fast_one_dies(self) -> None:
-        life = self.fleet.targets[2].life
-        keeper = self.fleet.routers[0].client.keeper_of(life)
+        life = self.fleet.targets[2].incarnation
+        keeper = self.fleet.routers[0].client.owner_of(life)
         self.assertGreaterEqual(self.play(0.7, dying=keeper, dies_at=8.0), IN_TIME)
         self.assert_none_starved()
 
--- a/tests/test_loomyard_router/test_admission/test_waiting_time.py
+++ b/tests/test_loomyard_router/test_admission/test_waiting_time.py
@@ -5,7 +5,7 @@
 import unittest
 
 from loomyard_router.admission.waiting_time import wait_until
-from test_loomyard_router.test_admission.places_case import Fleet
+from test_loomyard_router.test_admission.slots_case import Fleet
 
 
 class TestWaitUntil(unittest.TestCase):
--- a/tests/test_loomyard_router/test_announced/test_cold_targets.py
+++ b/tests/test_loomyard_router/test_announced/test_cold_targets.py
@@ -7,10 +7,10 @@
 from attrs import evolve
 
 from loomyard_router.announced.announced_target import AnnouncedTarget
-from loomyard_router.announced.cold_targets import KEEPER_PART, WARM
+from loomyard_router.announced.cold_targets import KEEPER_PART, UNLIMITED
 from loomyard_router.feeds.feed_position import FeedPosition
 from loomyard_router.peers.no_peers import NoPeers
-from test_loomyard_router.test_admission.places_case import (
+from test_loomyard_router.test_admission.slots_case import (
     COLD_PER_SECOND,
     COLD_SECONDS,
     Fleet,
@@ -30,11 +30,11 @@
         evolve(one, cold_seconds=seconds, position=FeedPosition(0, offset)) for one in fleet.targets
     ]
     for router in fleet.routers:
-        router.board.apply(targets, [])
+        router.registry.apply(targets, [])
 
 
 def take(fleet: Fleet, router: Router, number: int) -> bool:
-    return router.gate.take(fleet.request(number=number), frozenset()).is_ok()
+    return router.gate.acquire(fleet.request(number=number), frozenset()).is_ok()
 
 
 def most_in_a_second(times: list[float]) -> int:
@@ -75,19 +75,19 @@
 
     def test_routers_without_their_keeper_take_their_part(self) -> None:
         make_cold(self.fleet)
-        keeper = self.fleet.routers[0].client.keeper_of(self.fleet.targets[0].life)
+        keeper = self.fleet.routers[0].client.owner_of(self.fleet.targets[0].incarnation)
         others = [one for one in self.fleet.routers if one.members.own.name != keeper]
         for router in others:
-            router.client._peers = router.client._watch._peers = NoPeers()
+            router.client._peers = router.client._owner_health._peers = NoPeers()
         given = self.offer(2.5, others)
         self.assertLessEqual(most_in_a_second(given or [0.0]), COLD_PER_SECOND)
 
     def test_a_keeper_that_has_not_heard_it_yet_believes_who_asks(self) -> None:
         cold = [evolve(one, cold_seconds=COLD_SECONDS) for one in self.fleet.targets]
-        keeper = self.fleet.routers[0].client.keeper_of(self.fleet.targets[0].life)
+        keeper = self.fleet.routers[0].client.owner_of(self.fleet.targets[0].incarnation)
         others = [one for one in self.fleet.routers if one.members.own.name != keeper]
         for router in others:
-            router.board.apply(cold, [])
+            router.registry.apply(cold, [])
         given = self.offer(1.0, others)
         self.assertLessEqual(len(given), COLD_PER_SECOND)
 
@@ -102,7 +102,7 @@
         make_cold(self.fleet)
         self.fleet.clock.advance(0.6)
         router = self.fleet.routers[0]
-        self.assertEqual(WARM, router.cold.rate(self.fleet.targets[0]))
+        self.assertEqual(UNLIMITED, router.cold.rate_limit(self.fleet.targets[0]))
 
     def test_a_target_turns_cold_again_at_any_moment(self) -> None:
         make_cold(self.fleet)
@@ -115,12 +115,12 @@
             id="e0", service="engine", address="127.0.0.1:0", data_centre="north", slots=SLOTS
         )
         for router in self.fleet.routers:
-            router.board.apply([target], [])
-            router.board.note_emptied(frozenset(["north"]))
+            router.registry.apply([target], [])
+            router.registry.set_evacuated(frozenset(["north"]))
         self.fleet.clock.advance(5.0)
         self.assertEqual([], self.offer(0.1))
         for router in self.fleet.routers:
-            router.board.note_emptied(frozenset())
+            router.registry.set_evacuated(frozenset())
         self.assertLessEqual(len(self.offer(1.0)), COLD_PER_SECOND)
         self.fleet.clock.advance(COLD_SECONDS)
         self.assertEqual(ROUTERS, len(self.offer(STEP)))
@@ -128,14 +128,15 @@
     def test_what_a_cold_target_does_not_bear_goes_to_a_warm_one_or_is_refused_truly(self) -> None:
         fleet = Fleet(2, routers=3, slots=SLOTS)
         for router in fleet.routers:
-            router.board.apply([evolve(fleet.targets[0], cold_seconds=COLD_SECONDS)], [])
+            router.registry.apply([evolve(fleet.targets[0], cold_seconds=COLD_SECONDS)], [])
         taken = [
-            fleet.routers[n % 3].gate.take(fleet.request(number=n), frozenset()) for n in range(30)
+            fleet.routers[n % 3].gate.acquire(fleet.request(number=n), frozenset())
+            for n in range(30)
         ]
         self.assertTrue(all(one.is_ok() for one in taken))
         self.assertEqual({"e1"}, {one.unwrap().target.id for one in taken})
         make_cold(fleet, offset=5)
-        refused = fleet.routers[0].gate.take(fleet.request(number=99), frozenset()).unwrap_err()
+        refused = fleet.routers[0].gate.acquire(fleet.request(number=99), frozenset()).unwrap_err()
         self.assertGreater(refused.retry_after, 0)
 
 
--- a/tests/test_loomyard_router/test_announced/test_emptied_data_centres.py
+++ b/tests/test_loomyard_router/test_announced/test_emptied_data_centres.py
@@ -5,8 +5,8 @@
 import unittest
 
 from loomyard_router.announced.announced_target import AnnouncedTarget
-from loomyard_router.announced.emptied_data_centres import EmptiedDataCentres
-from loomyard_router.announced.target_board import TargetBoard
+from loomyard_router.announced.evacuated_data_centres import EvacuatedDataCentres
+from loomyard_router.announced.target_registry import TargetRegistry
 from loomyard_router.feeds.keyed_record import KeyedRecord
 from loomyard_router.platform.documents import find_emptied_data_centre
 from loomyard_standins.fake_clock import FakeClock
@@ -28,17 +28,17 @@
 class EmptiedDataCentresTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = FakeClock()
-        self.board = TargetBoard(self.clock)
+        self.registry = TargetRegistry(self.clock)
         self.targets = [
             AnnouncedTarget(id=f"t-{name}", service="s", address="127.0.0.1:1", data_centre=name)
             for name in ("north", "south")
         ]
-        self.board.replace_all(self.targets)
-        self.emptied = EmptiedDataCentres(find_emptied_data_centre)
-        self.emptied.subscribe(self.board.note_emptied)
+        self.registry.replace_all(self.targets)
+        self.emptied = EvacuatedDataCentres(find_emptied_data_centre)
+        self.emptied.subscribe(self.registry.set_evacuated)
 
     def usable(self) -> list[str]:
-        return [target.id for target in self.board.usable("s")]
+        return [target.id for target in self.registry.usable("s")]
 
     def test_an_order_stands_until_its_record_goes_whatever_it_holds(self) -> None:
         for value in (b"{}", b"", b"null", b"[[[", b"\xff"):
@@ -62,17 +62,17 @@
         self.assertEqual(2, len(self.usable()))
 
     def test_a_place_that_was_granted_before_is_not_used(self) -> None:
-        self.assertTrue(self.board.takes_work(self.targets[0]))
+        self.assertTrue(self.registry.is_usable(self.targets[0]))
         self.emptied.apply_records([record(1)])
-        self.assertFalse(self.board.takes_work(self.targets[0]))
+        self.assertFalse(self.registry.is_usable(self.targets[0]))
 
     def test_targets_that_lapsed_there_or_start_there_get_nothing(self) -> None:
-        self.board.note_store_lost()
-        self.board.apply([], ["t-north"])
+        self.registry.note_store_lost()
+        self.registry.apply([], ["t-north"])
         self.assertEqual(2, len(self.usable()))
         self.emptied.apply_records([record(1)])
         new = AnnouncedTarget(id="t-new", service="s", address="127.0.0.1:2", data_centre="north")
-        self.board.apply([new], [])
+        self.registry.apply([new], [])
         self.assertEqual(["t-south"], self.usable())
 
     def test_where_nobody_else_is_left_nobody_gets_work(self) -> None:
--- a/tests/test_loomyard_router/test_announced/test_leaving_exchange.py
+++ b/tests/test_loomyard_router/test_announced/test_leaving_exchange.py
@@ -40,7 +40,7 @@
 
 def usable(router: RoutedApplication) -> list[str]:
     """Return the ids of targets that a router uses."""
-    return [target.id for target in router.board.usable("plain")]
+    return [target.id for target in router.registry.usable("plain")]
 
 
 if __name__ == "__main__":
--- a/tests/test_loomyard_router/test_announced/test_target_lives.py
+++ b/tests/test_loomyard_router/test_announced/test_target_lives.py
@@ -6,13 +6,13 @@
 
 from attrs import evolve
 
-from loomyard_router.admission.target_health import TargetHealth
-from loomyard_router.admission.target_loads import LEAST_PLACES, TargetLoads
+from loomyard_router.admission.ejection_tracker import EjectionTracker
+from loomyard_router.admission.target_loads import MIN_SLOTS, TargetLoads
 from loomyard_router.announced.announced_target import AnnouncedTarget
-from loomyard_router.announced.target_board import TargetBoard
+from loomyard_router.announced.target_registry import TargetRegistry
 from loomyard_router.feeds.feed_position import FeedPosition
 from loomyard_standins.fake_clock import FakeClock
-from test_loomyard_router.test_admission.places_case import SLOTS, Fleet
+from test_loomyard_router.test_admission.slots_case import SLOTS, Fleet
 from test_loomyard_router.test_routed.routed_case import RoutedCase, route
 from test_loomyard_router.test_routed.scripted_target import plain_script
 
@@ -24,63 +24,63 @@
 
 class LivesOnTheBoardTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.board = TargetBoard(FakeClock())
-        self.board.replace_all([OLD])
+        self.registry = TargetRegistry(FakeClock())
+        self.registry.replace_all([OLD])
 
     def test_a_later_life_replaces_an_earlier_one(self) -> None:
-        self.board.apply([NEW], [])
-        self.assertFalse(self.board.takes_work(OLD))
-        self.assertTrue(self.board.takes_work(NEW))
-        self.assertEqual([NEW], self.board.known())
-        self.assertEqual(1, self.board.lives_replaced)
+        self.registry.apply([NEW], [])
+        self.assertFalse(self.registry.is_usable(OLD))
+        self.assertTrue(self.registry.is_usable(NEW))
+        self.assertEqual([NEW], self.registry.listed())
+        self.assertEqual(1, self.registry.restarts)
 
     def test_an_earlier_life_after_a_later_one_is_old_news(self) -> None:
-        self.board.apply([NEW], [])
-        self.board.apply([evolve(OLD, position=FeedPosition(0, 9), draining=True)], [])
-        self.assertTrue(self.board.takes_work(NEW))
-        self.board.replace_all([OLD])
-        self.assertEqual([NEW], self.board.known())
+        self.registry.apply([NEW], [])
+        self.registry.apply([evolve(OLD, position=FeedPosition(0, 9), draining=True)], [])
+        self.assertTrue(self.registry.is_usable(NEW))
+        self.registry.replace_all([OLD])
+        self.assertEqual([NEW], self.registry.listed())
 
     def test_old_news_of_one_that_lapsed_does_not_bring_it_back(self) -> None:
-        self.board.apply([NEW], [])
-        self.board.apply([], ["t"])
-        self.board.apply([OLD], [])
-        self.assertEqual((), self.board.usable("s"))
+        self.registry.apply([NEW], [])
+        self.registry.apply([], ["t"])
+        self.registry.apply([OLD], [])
+        self.assertEqual((), self.registry.usable("s"))
 
     def test_of_one_life_the_newest_record_counts(self) -> None:
         moved = evolve(OLD, address="127.0.0.1:9", position=FeedPosition(0, 7))
-        self.board.apply([moved], [])
-        self.assertEqual("127.0.0.1:9", self.board.usable("s")[0].address)
+        self.registry.apply([moved], [])
+        self.assertEqual("127.0.0.1:9", self.registry.usable("s")[0].address)
 
     def test_targets_that_tell_no_birth_are_told_apart_by_their_id(self) -> None:
-        self.board.apply([AnnouncedTarget(id="u", service="s", address="127.0.0.1:2")], [])
-        self.assertEqual(["t", "u"], [one.id for one in self.board.usable("s")])
+        self.registry.apply([AnnouncedTarget(id="u", service="s", address="127.0.0.1:2")], [])
+        self.assertEqual(["t", "u"], [one.id for one in self.registry.usable("s")])
 
 
 class LivesInAdmissionTest(unittest.TestCase):
     def test_what_a_target_failed_in_an_earlier_life_is_not_held_against_it(self) -> None:
-        health = TargetHealth(FakeClock())
+        health = EjectionTracker(FakeClock())
         other = AnnouncedTarget(id="o", service="s", address="127.0.0.1:3")
         for _ in range(3):
-            health.note_failure(OLD, "reset", unreachable=True)
-        self.assertEqual([other], health.sound([OLD, other]))
-        self.assertEqual([NEW, other], health.sound([NEW, other]))
+            health.record_failure(OLD, "reset", unreachable=True)
+        self.assertEqual([other], health.healthy([OLD, other]))
+        self.assertEqual([NEW, other], health.healthy([NEW, other]))
 
     def test_what_runs_in_an_earlier_life_takes_no_place_of_the_later_one(self) -> None:
         loads = TargetLoads(lambda: 100)
-        for _ in range(LEAST_PLACES):
-            loads.enter(OLD)
-        self.assertFalse(loads.has_place(OLD))
-        self.assertTrue(loads.has_place(NEW))
+        for _ in range(MIN_SLOTS):
+            loads.record_start(OLD)
+        self.assertFalse(loads.has_free_slot(OLD))
+        self.assertTrue(loads.has_free_slot(NEW))
 
     def test_places_held_in_an_earlier_life_are_free_in_the_later_one(self) -> None:
         fleet = Fleet(1)
         for life in (1_000, 2_000):
             reborn = evolve(fleet.targets[0], born=life, position=FeedPosition(0, life))
             for router in fleet.routers:
-                router.board.apply([reborn], [])
+                router.registry.apply([reborn], [])
             taken = [
-                fleet.routers[n % 3].gate.take(fleet.request(number=n), frozenset())
+                fleet.routers[n % 3].gate.acquire(fleet.request(number=n), frozenset())
                 for n in range(SLOTS)
             ]
             self.assertTrue(all(one.is_ok() for one in taken))
--- a/tests/test_loomyard_router/test_crashing/crash_fleet.py
+++ b/tests/test_loomyard_router/test_crashing/crash_fleet.py
@@ -6,13 +6,13 @@
 
 from attrs import define
 
-from loomyard_router.announced.target_life import TargetLife
+from loomyard_router.announced.target_incarnation import TargetIncarnation
 from loomyard_router.crashes.crash_exchange import CrashExchange
 from loomyard_router.crashes.crash_ledger import BLOCKING_LEVEL, CrashLedger
 from loomyard_router.members.membership import Member
 from loomyard_standins.memory_network import MemoryNetwork, MemoryPeers
 from loomyard_standins.stepped_clock import SteppedClock
-from test_loomyard_router.test_admission.places_case import Members
+from test_loomyard_router.test_admission.slots_case import Members
 
 
 @define(eq=False)
@@ -73,7 +73,7 @@
         """Let a router see targets end under a request."""
         ledger = self.routers[name].ledger
         for number in range(BLOCKING_LEVEL):
-            ledger.note_end(fingerprint, number + 1, TargetLife(f"{fingerprint}-{number}"))
+            ledger.note_end(fingerprint, number + 1, TargetIncarnation(f"{fingerprint}-{number}"))
 
     def lacking(self, fingerprint: str) -> list[str]:
         """Return the routers that would still send a request."""
--- a/tests/test_loomyard_router/test_crashing/routers_case.py
+++ b/tests/test_loomyard_router/test_crashing/routers_case.py
@@ -193,7 +193,7 @@
         service = self.all_targets[0].service
         self.until(
             lambda: not any(
-                target.id in gone for one in self.begun for target in one.board.usable(service)
+                target.id in gone for one in self.begun for target in one.registry.usable(service)
             )
         )
 
--- a/tests/test_loomyard_router/test_crashing/test_crash_ledger.py
+++ b/tests/test_loomyard_router/test_crashing/test_crash_ledger.py
@@ -6,7 +6,7 @@
 import random
 import unittest
 
-from loomyard_router.announced.target_life import TargetLife
+from loomyard_router.announced.target_incarnation import TargetIncarnation
 from loomyard_router.crashes.crash_ledger import (
     BLOCK_SECONDS,
     BLOCKING_LEVEL,
@@ -32,7 +32,7 @@
         """Let a target end under requests that were sent with what is known now."""
         ranks = {one: self.ledger.next_rank(one) for one in fingerprints}
         for fingerprint, rank in ranks.items():
-            self.ledger.note_end(fingerprint, rank, TargetLife(life))
+            self.ledger.note_end(fingerprint, rank, TargetIncarnation(life))
 
     def block(self, fingerprint: str = GUILTY) -> None:
         for number in range(BLOCKING_LEVEL):
@@ -47,7 +47,7 @@
     def test_copies_that_ran_at_once_count_once(self) -> None:
         # A rack is lost: targets end together, and the same request ran at each of them.
         for number in range(2 * BLOCKING_LEVEL):
-            self.ledger.note_end(GUILTY, 1, TargetLife(f"t{number}"))
+            self.ledger.note_end(GUILTY, 1, TargetIncarnation(f"t{number}"))
         self.assertEqual(1, self.ledger.level(GUILTY))
 
     def test_a_request_that_ran_to_its_end_begins_anew(self) -> None:
@@ -126,7 +126,7 @@
                 fingerprint=f"request-{source.randrange(2)}",
                 until=1000.0,
                 cleared=source.choice((0, 0, 0, 1)),
-                ends={source.randrange(1, 4): TargetLife(f"t{source.randrange(4)}")},
+                ends={source.randrange(1, 4): TargetIncarnation(f"t{source.randrange(4)}")},
             )
             for _ in range(5)
         ]
--- a/tests/test_loomyard_router/test_crashing/test_crash_memory.py
+++ b/tests/test_loomyard_router/test_crashing/test_crash_memory.py
@@ -13,12 +13,12 @@
 from result import Err, Ok, Result
 
 from loomyard.errors import Fault, ResultCode
-from loomyard_router.announced.target_life import TargetLife
+from loomyard_router.announced.target_incarnation import TargetIncarnation
 from loomyard_router.crashes.crash_ledger import BLOCKING_LEVEL, FORGET_SECONDS, CrashLedger
-from loomyard_router.crashes.crash_memory import ALONE_SECONDS, CrashMemory
+from loomyard_router.crashes.crash_persister import ALONE_SECONDS, CrashPersister
 from loomyard_router.members.membership import Member
 from loomyard_standins.fake_clock import FakeClock
-from test_loomyard_router.test_admission.places_case import Members
+from test_loomyard_router.test_admission.slots_case import Members
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -59,18 +59,20 @@
         self.archive = MemoryArchive()
         self.live = [Member(name=name, incarnation=1, address="", data_centre="") for name in NAMES]
 
-    def make(self, name: str) -> tuple[CrashLedger, CrashMemory, Members]:
+    def make(self, name: str) -> tuple[CrashLedger, CrashPersister, Members]:
         own = next(member for member in self.live if member.name == name)
         ledger = CrashLedger(self.clock)
         members = Members(own, list(self.live))
-        memory = CrashMemory(clock=self.clock, ledger=ledger, archive=self.archive, members=members)
+        memory = CrashPersister(
+            clock=self.clock, ledger=ledger, archive=self.archive, members=members
+        )
         return ledger, memory, members
 
     def block(self, ledger: CrashLedger) -> None:
         for number in range(BLOCKING_LEVEL):
-            ledger.note_end(GUILTY, number + 1, TargetLife(f"t{number}"))
+            ledger.note_end(GUILTY, number + 1, TargetIncarnation(f"t{number}"))
 
-    def steps(self, memory: CrashMemory, count: int = 4) -> None:
+    def steps(self, memory: CrashPersister, count: int = 4) -> None:
         for _ in range(count):
             memory.step()
 
@@ -109,7 +111,7 @@
 
     def test_what_only_may_end_targets_is_not_written(self) -> None:
         ledger, memory, _ = self.make("r0")
-        ledger.note_end(GUILTY, 1, TargetLife("t1"))
+        ledger.note_end(GUILTY, 1, TargetIncarnation("t1"))
         self.steps(memory)
         self.assertEqual({}, self.archive.values)
 
--- a/tests/test_loomyard_router/test_crashing/test_life_probe.py
+++ b/tests/test_loomyard_router/test_crashing/test_life_probe.py
@@ -9,17 +9,17 @@
 from result import Ok
 
 from loomyard.clock import SystemClock
-from loomyard_router.announced.target_board import TargetBoard
-from loomyard_router.announced.target_life import TargetLife
+from loomyard_router.announced.target_incarnation import TargetIncarnation
 from loomyard_router.announced.target_notice import TargetNotice
-from loomyard_router.crashes import life_probe
+from loomyard_router.announced.target_registry import TargetRegistry
+from loomyard_router.crashes import liveness_probe
 from loomyard_router.crashes.late_verdicts import (
     LATEST_SECONDS,
     TOGETHER_SECONDS,
     BrokenRequest,
     LateVerdicts,
 )
-from loomyard_router.crashes.life_probe import LifeProbe
+from loomyard_router.crashes.liveness_probe import LivenessProbe
 from loomyard_router.platform.targets import PlatformTargets
 from loomyard_router.routed.connection_pool import ConnectionPool
 from loomyard_router.routes.route_table import make_route_table
@@ -32,7 +32,7 @@
 if TYPE_CHECKING:
     import socket
 
-LIFE, OTHER = TargetLife("t"), TargetLife("u")
+LIFE, OTHER = TargetIncarnation("t"), TargetIncarnation("u")
 # No verdict may hang on how busy the machine is.
 PATIENCE = 10.0
 ASKED = 20
@@ -54,17 +54,17 @@
         )
         holder.offer(b"", "store")
         clock = SystemClock()
-        self.board = TargetBoard(clock)
-        self.probe = LifeProbe(
+        self.registry = TargetRegistry(clock)
+        self.probe = LivenessProbe(
             clock=clock,
-            board=self.board,
+            registry=self.registry,
             pool=ConnectionPool(clock),
             dialect=PlatformTargets(),
             holder=holder,
         )
 
     def set(self, name: str, seconds: float) -> None:
-        patch = mock.patch.object(life_probe, name, seconds)
+        patch = mock.patch.object(liveness_probe, name, seconds)
         patch.start()
         self.addCleanup(patch.stop)
 
@@ -111,11 +111,11 @@
                 answer = health(id_).replace(b"\r\n\r\n", b"\r\nServer-Leaving: 1\r\n\r\n")
                 target = self.start(answer).announced(born=len(id_))
                 self.probe.has_ended(target)
-                self.assertEqual(heard, self.board.notices.leaves(target.life))
+                self.assertEqual(heard, self.registry.notices.is_leaving(target.incarnation))
 
     def test_a_target_that_asked_for_rest_is_asked_nothing(self) -> None:
         target = self.start(health("t"))
-        self.board.hear(target.announced(), TargetNotice(rest_seconds=60.0))
+        self.registry.apply_notice(target.announced(), TargetNotice(backoff_seconds=60.0))
         self.assertFalse(self.probe.has_ended(target.announced()))
         self.assertEqual([], target.received)
         target.stop()
@@ -137,7 +137,7 @@
         for name in names:
             self.late.note_broken(LIFE, BrokenRequest(name, 1), answered=answered)
 
-    def blamed(self, known: set[TargetLife]) -> set[str]:
+    def blamed(self, known: set[TargetIncarnation]) -> set[str]:
         return {broken.fingerprint for _, broken in self.late.take_ended(known)}
 
     def test_all_that_broke_together_is_blamed_once_the_entry_vanishes(self) -> None:
--- a/tests/test_loomyard_router/test_crashing/test_requests_that_end_targets.py
+++ b/tests/test_loomyard_router/test_crashing/test_requests_that_end_targets.py
@@ -17,7 +17,7 @@
 
 import gevent
 
-from loomyard_router.crashes import life_probe
+from loomyard_router.crashes import liveness_probe
 from loomyard_router.routes.kind import RouteKind
 from test_loomyard_router.test_crashing.routers_case import ENDING, TOLD_SECONDS, RoutersCase
 from test_loomyard_router.test_routed.routed_case import WAIT, route
@@ -33,7 +33,7 @@
 class EndingRequestTest(RoutersCase):
     def setUp(self) -> None:
         # No verdict may hang on how busy the machine is.
-        patch = mock.patch.object(life_probe, "ANSWER_SECONDS", WAIT)
+        patch = mock.patch.object(liveness_probe, "ANSWER_SECONDS", WAIT)
         patch.start()
         self.addCleanup(patch.stop)
         super().setUp()
