--- a/tests/test_loomyard_router/test_feeds/eras_fleet.py
+++ b/tests/test_loomyard_router/test_feeds/eras_fleet.py
@@ -8,11 +8,11 @@
 from result import Err, Ok, Result
 
 from loomyard_router.announced.announced_target import AnnouncedTarget
-from loomyard_router.announced.emptied_data_centres import EmptiedDataCentres
-from loomyard_router.announced.order_losses import OrderLosses
-from loomyard_router.announced.target_board import TargetBoard
+from loomyard_router.announced.evacuated_data_centres import EvacuatedDataCentres
+from loomyard_router.announced.order_rollback_policy import OrderRollbackPolicy
 from loomyard_router.announced.target_feed import TargetFeed
-from loomyard_router.announced.target_losses import TargetLosses
+from loomyard_router.announced.target_registry import TargetRegistry
+from loomyard_router.announced.target_rollback_policy import TargetRollbackPolicy
 from loomyard_router.feeds.fan_out_consumer import FanOutConsumer
 from loomyard_router.feeds.unreadable_entries import UnreadableEntries
 from loomyard_router.feeds.unreadable_entry import (
@@ -65,12 +65,12 @@
     """What one router holds."""
 
     holder: TableHolder
-    emptied: EmptiedDataCentres
-    board: TargetBoard
+    emptied: EvacuatedDataCentres
+    registry: TargetRegistry
 
     @property
     def usable(self) -> set[str]:
-        return {target.id for target in self.board.usable(SERVICE)}
+        return {target.id for target in self.registry.usable(SERVICE)}
 
 
 class ErasFleet(FeedFleet):
@@ -91,18 +91,18 @@
 
     def make_taker(self, feed: str) -> RecordConsumer:
         if feed == CONFIGURATION:
-            board = TargetBoard(self.clock)
-            emptied = EmptiedDataCentres(find_emptied)
-            emptied.subscribe(board.note_emptied)
-            self._newest = Holding(TableHolder(decode_table), emptied, board)
+            registry = TargetRegistry(self.clock)
+            emptied = EvacuatedDataCentres(find_emptied)
+            emptied.subscribe(registry.set_evacuated)
+            self._newest = Holding(TableHolder(decode_table), emptied, registry)
             tables = TableFeed(self._newest.holder, KEY, UnreadableEntries())
             return FanOutConsumer((emptied, tables))
-        return TargetFeed(self._newest.board, decode_target, UnreadableEntries())
+        return TargetFeed(self._newest.registry, decode_target, UnreadableEntries())
 
     def make_losses(self, feed: str) -> RollbackPolicy:
         if feed == CONFIGURATION:
-            return OrderLosses(find_emptied)
-        return TargetLosses(decode_target)
+            return OrderRollbackPolicy(find_emptied)
+        return TargetRollbackPolicy(decode_target)
 
     def note_made(self, name: str) -> None:
         self._by_name[name] = self._newest
--- a/tests/test_loomyard_router/test_feeds/test_store_eras_model.py
+++ b/tests/test_loomyard_router/test_feeds/test_store_eras_model.py
@@ -201,7 +201,7 @@
             usable = self.fleet.holding(name).usable
             seen = self.seen_out.setdefault(name, set())
             assert not seen & usable, (name, seen & usable)
-            if self.fleet.holding(name).board.ready:
+            if self.fleet.holding(name).registry.ready:
                 self.seen_out[name] = seen | (out - usable)
 
 
--- a/tests/test_loomyard_router/test_orders/orders_case.py
+++ b/tests/test_loomyard_router/test_orders/orders_case.py
@@ -10,7 +10,7 @@
 from loomyard.objects import Metadata, Service, Target
 from loomyard.routing import Routing
 from loomyard_router.members.membership import Member, SoleMembership
-from loomyard_router.orders.order_keeper import OrderKeeper, make_order_keeper
+from loomyard_router.orders.order_controller import OrderController, make_order_controller
 from loomyard_router.targets.directory import TargetDirectory, make_configured_targets
 from loomyard_standins.fake_clock import FakeClock
 from loomyard_standins.log_service import MemoryLog
@@ -60,11 +60,11 @@
             **fields,
         )
 
-    def keeper(self, name: str) -> OrderKeeper:
+    def keeper(self, name: str) -> OrderController:
         own = Member(name=name, incarnation=1, address="", data_centre="")
         directory = make_configured_targets()
         self.directories.append(directory)
-        keeper = make_order_keeper(
+        keeper = make_order_controller(
             clock=self.clock,
             log=self.log,
             engine=self.engines,
--- a/tests/test_loomyard_router/test_orders/test_order_fencing.py
+++ b/tests/test_loomyard_router/test_orders/test_order_fencing.py
@@ -9,7 +9,7 @@
 from attrs import evolve
 
 from loomyard_router.members.membership import Member
-from loomyard_router.orders.order_lease_keeper import TAKEOVER_AFTER, TERM, OrderLeaseKeeper
+from loomyard_router.orders.order_lease_manager import TAKEOVER_AFTER, TERM, OrderLeaseManager
 from loomyard_router.orders.order_planner import (
     BACKLOG_SECONDS,
 )
@@ -125,7 +125,7 @@
 
 class SuccessorTest(OrdersCase):
     def test_waits_for_orders_on_their_way_where_numbers_are_ignored(self) -> None:
-        keeper = OrderLeaseKeeper(
+        keeper = OrderLeaseManager(
             self.clock, self.log, Member(name="k", incarnation=1, address="", data_centre="")
         )
         sender = OrderSender(self.clock, self.engines, self.weights, keeper)
--- a/tests/test_loomyard_router/test_orders/test_order_lease.py
+++ b/tests/test_loomyard_router/test_orders/test_order_lease.py
@@ -11,7 +11,12 @@
 from loomyard.errors import Executed, Fault, ResultCode
 from loomyard_router.members.membership import Member
 from loomyard_router.orders.lease_record import ORDERS_STREAM, OrderLease
-from loomyard_router.orders.order_lease_keeper import DRIFT, TAKEOVER_AFTER, TERM, OrderLeaseKeeper
+from loomyard_router.orders.order_lease_manager import (
+    DRIFT,
+    TAKEOVER_AFTER,
+    TERM,
+    OrderLeaseManager,
+)
 from loomyard_standins.fake_clock import FakeClock
 from loomyard_standins.log_service import MemoryLog
 
@@ -52,11 +57,11 @@
         self.clock = FakeClock()
         self.log = SlowLog()
 
-    def keeper(self, name: str, *, rate: float = 1.0) -> OrderLeaseKeeper:
+    def keeper(self, name: str, *, rate: float = 1.0) -> OrderLeaseManager:
         own = Member(name=name, incarnation=1, address="", data_centre="")
-        return OrderLeaseKeeper(DriftingClock(self.clock, rate), self.log, own)
+        return OrderLeaseManager(DriftingClock(self.clock, rate), self.log, own)
 
-    def run_for(self, seconds: float, *keepers: OrderLeaseKeeper) -> None:
+    def run_for(self, seconds: float, *keepers: OrderLeaseManager) -> None:
         for _ in range(int(seconds)):
             self.clock.advance(1.0)
             for keeper in keepers:
@@ -84,7 +89,7 @@
         a = self.keeper("a")
         self.run_for(20, a)
         own = Member(name="a", incarnation=2, address="", data_centre="")
-        again = OrderLeaseKeeper(DriftingClock(self.clock, 1.0), self.log, own)
+        again = OrderLeaseManager(DriftingClock(self.clock, 1.0), self.log, own)
         self.run_for(5, again)
         self.assertIsNone(again.held())
 
@@ -151,9 +156,9 @@
         paused = [0.0, 0.0, 0.0]
         held_times, highest = 0, -1
 
-        busy: list[OrderLeaseKeeper] = []
+        busy: list[OrderLeaseManager] = []
 
-        def step(keeper: OrderLeaseKeeper) -> None:
+        def step(keeper: OrderLeaseManager) -> None:
             if keeper not in busy:
                 busy.append(keeper)
                 keeper.step(candidate=True)
--- a/tests/test_loomyard_router/test_orders/test_wanted_services.py
+++ b/tests/test_loomyard_router/test_orders/test_wanted_services.py
@@ -8,8 +8,8 @@
 
 from loomyard_router.members.membership import Member, SoleMembership
 from loomyard_router.orders.local_backlog import REFUSAL_SECONDS, LocalBacklog
-from loomyard_router.orders.wanted_services import REPEAT_SECONDS, WantedServices
-from loomyard_router.shares.parents import find_allocator
+from loomyard_router.orders.refusal_notifier import REPEAT_SECONDS, RefusalNotifier
+from loomyard_router.shares.allocator_selection import find_allocator
 from loomyard_standins.fake_clock import FakeClock
 from loomyard_standins.memory_network import MemoryNetwork
 
@@ -31,11 +31,11 @@
         backlogs = {name: LocalBacklog(clock) for name in NAMES}
         for name, backlog in backlogs.items():
             members = ThreeMembers(member(name))
-            WantedServices(clock, members, network.join(member(name)), backlog)
+            RefusalNotifier(clock, members, network.join(member(name)), backlog)
         keeper = find_allocator(members)
         other = next(name for name in NAMES if name != keeper)
         for tenth in range(200):
-            backlogs[other].refuse("tagger")
+            backlogs[other].record_refusal("tagger")
             gevent.sleep(0)
             gevent.sleep(0)
             self.assertEqual(backlogs[keeper].waiting("tagger"), 1, tenth)
--- a/tests/test_loomyard_router/test_place_metrics.py
+++ b/tests/test_loomyard_router/test_place_metrics.py
@@ -5,9 +5,9 @@
 import unittest
 
 from loomyard.clock import SystemClock
-from loomyard_router.admission.place_figures import PlaceFigures
-from loomyard_router.admission.reading_pace import ReadingPace
-from loomyard_router.announced.target_life import TargetLife
+from loomyard_router.admission.prefill_estimate import PrefillEstimate
+from loomyard_router.admission.slot_metrics import SlotMetrics
+from loomyard_router.announced.target_incarnation import TargetIncarnation
 from loomyard_router.metrics.exposition import MetersCollector, expose
 from loomyard_router.metrics.meters import Meters
 from loomyard_router.peers.traffic import TrafficCounters
@@ -20,10 +20,10 @@
             Meters(SystemClock()),
             TrafficCounters(),
             lambda: 0,
-            places=PlaceFigures(
-                paces=lambda: {TargetLife("e0"): ReadingPace(0.5, 40_000.0)},
-                objections=lambda: {"reading": 7},
-                silent=lambda: 2,
+            places=SlotMetrics(
+                prefill_estimates=lambda: {TargetIncarnation("e0"): PrefillEstimate(0.5, 40_000.0)},
+                refusals=lambda: {"reading": 7},
+                unresponsive_owners=lambda: 2,
             ),
             bodies=BodyFigures(lent=lambda: 11, peak=lambda: 12, refused=lambda: 13),
         )
--- a/tests/test_loomyard_router/test_platform/test_entries_of_others.py
+++ b/tests/test_loomyard_router/test_platform/test_entries_of_others.py
@@ -14,8 +14,8 @@
 from typing import Any
 from unittest import mock
 
-from loomyard_router.announced.target_board import TargetBoard
 from loomyard_router.announced.target_feed import TargetFeed
+from loomyard_router.announced.target_registry import TargetRegistry
 from loomyard_router.feeds.keyed_record import KeyedRecord
 from loomyard_router.feeds.unreadable_entries import UnreadableEntries
 from loomyard_router.feeds.unreadable_entry import MAX_DETAIL_CHARS, UnreadableReason
@@ -79,13 +79,13 @@
 
 class BadEntriesTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.board = TargetBoard(FakeClock())
+        self.registry = TargetRegistry(FakeClock())
         self.unreadable = UnreadableEntries()
-        self.feed = TargetFeed(self.board, decode_target, self.unreadable)
+        self.feed = TargetFeed(self.registry, decode_target, self.unreadable)
         self.feed.apply_listing([record(n, f"t{n}", json.dumps(GOOD).encode()) for n in (0, 1)], "")
 
     def usable(self) -> list[str]:
-        return [target.id for target in self.board.usable("one")]
+        return [target.id for target in self.registry.usable("one")]
 
     def test_an_entry_with_one_bad_field_names_no_target(self) -> None:
         offset = 10
@@ -190,22 +190,22 @@
         return data
 
     def test_targets(self) -> None:
-        board = TargetBoard(FakeClock())
-        feed = TargetFeed(board, decode_target, UnreadableEntries())
+        registry = TargetRegistry(FakeClock())
+        feed = TargetFeed(registry, decode_target, UnreadableEntries())
         feed.apply_listing([record(0, "good", json.dumps(GOOD).encode())], "")
         read = 0
         for offset in range(1, ROUNDS):
             value = self.encode(self.mutate(GOOD))
             feed.apply_records([record(offset, "mutated", value)])
-            self.assertIn("good", [target.id for target in board.usable("one")])
-            for target in board.known():
+            self.assertIn("good", [target.id for target in registry.usable("one")])
+            for target in registry.listed():
                 host, _, port = target.address.rpartition(":")
                 self.assertEqual(4, len([int(part) for part in host.split(".")]))
                 self.assertTrue(0 < int(port) < 65536)
                 self.assertTrue(type(target.slots) is int and 1 <= target.slots <= 100_000)
                 self.assertTrue(0.0 <= target.cold_seconds <= 86_400.0)
                 f"{target.id} {target.service} {target.data_centre}".encode("latin-1")
-            read += len(board.known()) - 1
+            read += len(registry.listed()) - 1
         self.assertGreater(read, ROUNDS / 20)
         self.assertLess(read, ROUNDS)
 
--- a/tests/test_loomyard_router/test_platform/test_targets.py
+++ b/tests/test_loomyard_router/test_platform/test_targets.py
@@ -35,7 +35,7 @@
     def test_rest_is_a_number_of_seconds_with_a_503(self) -> None:
         for text, seconds in (("3", 3.0), ("0.25", 0.25), (" 2 ", 2.0), ("0", 0.0)):
             with self.subTest(text=text):
-                self.assertEqual(seconds, self.read(503, Retry_After=text).rest_seconds)
+                self.assertEqual(seconds, self.read(503, Retry_After=text).backoff_seconds)
         for status in (200, 429, 500):
             with self.subTest(status=status):
                 self.assertIs(NO_NOTICE, self.read(status, Retry_After="3"))
--- a/tests/test_loomyard_router/test_requests/serving_case.py
+++ b/tests/test_loomyard_router/test_requests/serving_case.py
@@ -72,7 +72,7 @@
         self.left: list[str] = []
         self.targets.report_leaving = self.left.append  # type: ignore[method-assign]
         self.rests: list[tuple[str, float]] = []
-        self.targets.report_rest = (  # type: ignore[method-assign]
+        self.targets.report_backoff = (  # type: ignore[method-assign]
             lambda name, until: self.rests.append((name, until))
         )
         self.policy = make_local_policy(self.clock)
--- a/tests/test_loomyard_router/test_routed/routed_case.py
+++ b/tests/test_loomyard_router/test_routed/routed_case.py
@@ -156,7 +156,7 @@
     def announce(self, target: AnnouncedTarget) -> None:
         """Announce a target, or its new state."""
         self.targets.put(target.id, self._keep(target))
-        self.until(lambda: target in self.router.board.known())
+        self.until(lambda: target in self.router.registry.listed())
 
     def until(self, condition: object) -> None:
         """Wait until a condition holds."""
--- a/tests/test_loomyard_router/test_routed/test_early_refusal.py
+++ b/tests/test_loomyard_router/test_routed/test_early_refusal.py
@@ -7,13 +7,13 @@
 from unittest.mock import patch
 
 from loomyard.events import Event
-from loomyard_router.admission.crowd_limit import (
-    BEHIND_SECONDS,
-    MOST_BEHIND,
-    MOST_WAITING,
-    FewWhileBehind,
+from loomyard_router.admission.account_backlog import AccountBacklog
+from loomyard_router.admission.backlog_limit import (
+    LAG_THRESHOLD_SECONDS,
+    MAX_WAITING,
+    MAX_WAITING_LAGGING,
+    LagAwareLimit,
 )
-from loomyard_router.admission.waiting_accounts import WaitingAccounts
 from loomyard_router.routed import early_refusal
 from test_loomyard_router.test_routed.routed_case import RoutedCase, request_bytes, route
 from test_loomyard_router.test_routed.scripted_target import plain_script
@@ -41,33 +41,33 @@
 class TestWaitingAccounts(unittest.TestCase):
     def setUp(self) -> None:
         self.shares = Shares()
-        self.waiting = WaitingAccounts(self.shares)  # type: ignore[arg-type]
+        self.waiting = AccountBacklog(self.shares)  # type: ignore[arg-type]
 
     def test_an_account_far_beyond_its_share_is_full_sooner(self) -> None:
-        for _ in range(MOST_BEHIND):
-            self.assertFalse(self.waiting.crowded)
-            self.waiting.enter("north")
-        self.assertTrue(self.waiting.crowded)
+        for _ in range(MAX_WAITING_LAGGING):
+            self.assertFalse(self.waiting.any_near_limit)
+            self.waiting.add_waiting("north")
+        self.assertTrue(self.waiting.any_near_limit)
         self.assertFalse(self.waiting.is_full("north"))
         self.shares.over.add("north")
         self.assertTrue(self.waiting.is_full("north"))
         self.assertFalse(self.waiting.is_full("south"))
-        self.waiting.leave("north")
+        self.waiting.remove_waiting("north")
         self.assertFalse(self.waiting.is_full("north"))
-        self.assertFalse(self.waiting.crowded)
+        self.assertFalse(self.waiting.any_near_limit)
 
     def test_while_the_router_has_time_one_far_beyond_its_share_asks_as_often_as_others(
         self,
     ) -> None:
         lag = [0.0]
-        waiting = WaitingAccounts(self.shares, FewWhileBehind(lambda: lag[0]))  # type: ignore[arg-type]
+        waiting = AccountBacklog(self.shares, LagAwareLimit(lambda: lag[0]))  # type: ignore[arg-type]
         self.shares.over.add("north")
-        for _ in range(MOST_WAITING):
+        for _ in range(MAX_WAITING):
             self.assertFalse(waiting.is_full("north"))
-            waiting.enter("north")
+            waiting.add_waiting("north")
         self.assertTrue(waiting.is_full("north"))
-        waiting.leave("north")
-        lag[0] = 2 * BEHIND_SECONDS
+        waiting.remove_waiting("north")
+        lag[0] = 2 * LAG_THRESHOLD_SECONDS
         self.assertTrue(waiting.is_full("north"))
 
     def test_an_account_that_outran_one_that_waits_is_full_at_once(self) -> None:
@@ -76,9 +76,9 @@
         self.assertFalse(self.waiting.is_full("south"))
 
     def test_otherwise_more_may_wait_but_not_all(self) -> None:
-        for _ in range(MOST_WAITING):
+        for _ in range(MAX_WAITING):
             self.assertFalse(self.waiting.is_full("north"))
-            self.waiting.enter("north")
+            self.waiting.add_waiting("north")
         self.assertTrue(self.waiting.is_full("north"))
 
 
@@ -87,7 +87,7 @@
         super().setUp()
         self.target_ = self.target("t1", plain_script)
         self.publish(route())
-        self.waiting = self.router._admission.waiting
+        self.waiting = self.router._admission.backlog
         self.early = self.router._listener.early
 
     def overload(self) -> None:
@@ -95,8 +95,8 @@
         self.router.app._overloaded = lambda: True
 
     def fill(self, account: str) -> None:
-        for _ in range(MOST_WAITING):
-            self.waiting.enter(account)
+        for _ in range(MAX_WAITING):
+            self.waiting.add_waiting(account)
 
     def assert_refused(self, response: http.client.HTTPResponse) -> None:
         self.assertEqual(503, response.status)
--- a/tests/test_loomyard_router/test_routed/test_emptied_and_cold.py
+++ b/tests/test_loomyard_router/test_routed/test_emptied_and_cold.py
@@ -22,10 +22,10 @@
         self.tables.put("evacuate/north", b"{}")
         # Records come in order, so what stands before this version was read with it.
         self.publish(route(), version=2)
-        self.assertEqual(["t-south"], [one.id for one in self.router.board.usable("plain")])
+        self.assertEqual(["t-south"], [one.id for one in self.router.registry.usable("plain")])
         self.tables.put("evacuate/north", None)
         self.publish(route(), version=3)
-        self.assertEqual(2, len(self.router.board.usable("plain")))
+        self.assertEqual(2, len(self.router.registry.usable("plain")))
 
 
 class ColdTargetTest(unittest.TestCase):
--- a/tests/test_loomyard_router/test_routed/test_requests.py
+++ b/tests/test_loomyard_router/test_routed/test_requests.py
@@ -25,7 +25,7 @@
     from result import Result
 
     from loomyard.errors import Fault
-    from loomyard_router.admission.place import Place
+    from loomyard_router.admission.slot_permit import SlotPermit
     from loomyard_router.routed.routed_request import RoutedRequest
 
 REPEATABLE = {"kind": RouteKind.IDEMPOTENT}
@@ -110,15 +110,17 @@
     def test_a_target_that_began_to_leave_during_the_wait_for_a_place_gets_nothing(self) -> None:
         targets = {name: self.target(name, plain_script) for name in ("t1", "t2")}
         self.publish(route())
-        forwarder, board = self.router.app._forwarder, self.router.board
+        forwarder, registry = self.router.app._forwarder, self.router.registry
         gate, left = forwarder._gate, []
 
         class LateGate:
-            def take(self, request: RoutedRequest, avoided: frozenset[str]) -> Result[Place, Fault]:
-                place = gate.take(request, avoided)
+            def take(
+                self, request: RoutedRequest, avoided: frozenset[str]
+            ) -> Result[SlotPermit, Fault]:
+                place = gate.acquire(request, avoided)
                 if not left:
                     left.append(place.unwrap().target)
-                    board.apply([evolve(left[0], draining=True)], [])
+                    registry.apply([evolve(left[0], draining=True)], [])
                 return place
 
         forwarder._gate = LateGate()
--- a/tests/test_loomyard_router/test_routed/test_targets_that_refuse.py
+++ b/tests/test_loomyard_router/test_routed/test_targets_that_refuse.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 from unittest import mock
 
-from loomyard_router.admission import target_health
+from loomyard_router.admission import ejection_tracker
 from loomyard_router.routes.kind import RouteKind
 from loomyard_router.routes.service_terms import EngineTerms, ServiceTerms
 from test_loomyard_router.test_routed.routed_case import RoutedCase, route
@@ -45,7 +45,7 @@
     def setUp(self) -> None:
         super().setUp()
         for name in ("FIRST_REST", "LONGEST_REST"):
-            patch = mock.patch.object(target_health, name, REST_SECONDS)
+            patch = mock.patch.object(ejection_tracker, name, REST_SECONDS)
             patch.start()
             self.addCleanup(patch.stop)
 
@@ -68,7 +68,7 @@
         admission = self.router._admission
         for number in range(CALLS):
             self.call("/engine/x", Loomyard_Attempt_Id=f"{number}")
-        self.assertLess(admission.ledger.level("north"), 1.0)
+        self.assertLess(admission.ledger.usage("north"), 1.0)
 
     def count_calls(self, service: str, script: Script) -> int:
         """Return how many of some requests reach a target beside one that works."""
--- a/tests/test_loomyard_router/test_routed/test_what_targets_say.py
+++ b/tests/test_loomyard_router/test_routed/test_what_targets_say.py
@@ -120,7 +120,7 @@
         target = self.target("t1", misdirect)
         self.publish(*ROUTES)
         self.assertEqual(503, self.call("/plain/x").status)
-        self.assertTrue(self.router.board.takes_work(target.announced()))
+        self.assertTrue(self.router.registry.is_usable(target.announced()))
 
     def test_what_only_resting_targets_could_serve_is_refused_at_once(self) -> None:
         tired = self.start_targets(turn_away)
@@ -141,7 +141,7 @@
 
     def leaves(self, target: ScriptedTarget) -> bool:
         """Tell whether the router knows that a target leaves."""
-        return not self.router.board.takes_work(target.announced())
+        return not self.router.registry.is_usable(target.announced())
 
     def start_targets(self, script: Script) -> dict[str, ScriptedTarget]:
         """Start a target of each service."""
--- a/tests/test_loomyard_router/test_targets/test_known_targets.py
+++ b/tests/test_loomyard_router/test_targets/test_known_targets.py
@@ -74,7 +74,7 @@
     def pass_time(self, seconds: float) -> None:
         for _ in range(int(seconds / 0.5)):
             self.clock.advance(0.5)
-            self.routers[0].take_vms(self.vm_list.read().unwrap())
+            self.routers[0].apply_vm_list(self.vm_list.read().unwrap())
             for router in self.routers:
                 router.tick()
             gevent.sleep(0)
@@ -212,8 +212,8 @@
 class RestTest(TargetsCase):
     def test_a_target_rests_at_the_router_that_it_asked_until_the_latest_end(self) -> None:
         router = self.routers[0]
-        router.report_rest("a", self.clock.now() + 3.0)
-        router.report_rest("a", self.clock.now() + 1.0)
+        router.report_backoff("a", self.clock.now() + 3.0)
+        router.report_backoff("a", self.clock.now() + 1.0)
         self.assertEqual([False, True], self.views("a"))
         self.pass_time(2.0)
         self.assertEqual([False, True], self.views("a"))
@@ -222,7 +222,7 @@
 
     def test_all_may_rest(self) -> None:
         for name in "abcd":
-            self.routers[0].report_rest(name, self.clock.now() + 3.0)
+            self.routers[0].report_backoff(name, self.clock.now() + 3.0)
         self.assertEqual([False] * 4, [self.routers[0].may_send(name) for name in "abcd"])
 
 
--- a/tests/test_loomyard_router/test_targets/test_leaving_spread.py
+++ b/tests/test_loomyard_router/test_targets/test_leaving_spread.py
@@ -62,7 +62,9 @@
                 fleet, routers = self.start(count)
                 routers["r1"].report_leaving("a")
                 self.assertLessEqual(self.seconds_until_known(fleet, routers, "a"), SPREAD_SECONDS)
-                routers["r2"].take_vms([Vm(name="vm-b", data_centre="", state=VmState.LEAVING)])
+                routers["r2"].apply_vm_list(
+                    [Vm(name="vm-b", data_centre="", state=VmState.LEAVING)]
+                )
                 self.assertLessEqual(self.seconds_until_known(fleet, routers, "b"), SPREAD_SECONDS)
 
     def test_gossip_alone_does_for_a_small_fleet(self) -> None:
