--- a/packages/loomyard-router/src/loomyard_router/admission/assembly.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/assembly.py
@@ -88,7 +88,7 @@
     members: Membership,
     peers: PeerLinks,
     window: float,
-    source: random.Random,
+    rng: random.Random,
     lag: Callable[[], float] = lambda: 0.0,
 ) -> AdmissionComponents:
     """Wire the gates.
@@ -103,7 +103,7 @@
         peers=peers,
         window=window,
         rate=lambda: 0.0 if holder.table is None else holder.table.limits.tokens_per_second,
-        source=source,
+        source=rng,
     )
     cold = ColdTargets(clock, registry, holder)
     paces = TargetPaces()
@@ -113,7 +113,7 @@
     places = PlaceClient(clock=clock, members=members, peers=peers, keeper=keeper, paces=paces)
     health = EjectionTracker(clock)
     loads = TargetLoads(lambda: len(members.live()))
-    hint = RetryHint(source)
+    hint = RetryHint(rng)
     waiting = AccountBacklog(ledger, LagAwareLimit(lag))
     engines = FleetGate(
         clock=clock,
--- a/packages/loomyard-router/src/loomyard_router/admission/fleet_gate.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/fleet_gate.py
@@ -189,7 +189,7 @@
         by_id = {target.id: target for target in self._health.healthy(usable)}
         # What ran beside a request that ends targets often shares its prompt; after its target
         # ended it goes another way than that, so that it is not there again.
-        key = request.fingerprint if request.suspicion else request.affinity
+        key = request.fingerprint if request.crash_count else request.affinity_key
         weights = self._weigh(request.service)
         capacities = {target.id: weights.get(target.incarnation, 1.0) for target in by_id.values()}
         ids = rank_weighted(key or request.head.attempt_id, capacities)
@@ -227,12 +227,12 @@
             used=self._ledger.share_used(account),
             cold_rate=cold_rate,
         )
-        request.trace.objection = outcome.objection
+        request.trace.refusal_reason = outcome.objection
         if outcome.verdict is Verdict.FULL:
             return None
         if outcome.verdict is Verdict.UNREACHABLE and (
             # Only the keeper knows whether another one of them has just begun there.
-            request.suspicion >= APART_LEVEL
+            request.crash_count >= APART_LEVEL
             or not self._loads.spend_part(target, cold_rate, self._clock.now())
         ):
             return None
@@ -258,21 +258,21 @@
             released,
             answered=answered,
             unused=unused,
-            taken=taken,
-            choice=choice,
-            expected=outcome.expected,
+            slots_in_use=taken,
+            target_rank=choice,
+            expected_ttft=outcome.expected,
         )
 
 
 def _worthwhile_wait(request: RoutedRequest) -> float:
-    return request.shared_tokens * WAIT_PER_TOKEN
+    return request.shared_prompt_tokens * WAIT_PER_TOKEN
 
 
 def _most_others(request: RoutedRequest, *, beyond: bool) -> int:
-    mostly_own = request.head.prompt_tokens - request.shared_tokens >= (
-        OWN_RATIO * request.shared_tokens
+    mostly_own = request.head.prompt_tokens - request.shared_prompt_tokens >= (
+        OWN_RATIO * request.shared_prompt_tokens
     )
-    if not beyond or not request.affinity:
+    if not beyond or not request.affinity_key:
         return MOST_OTHERS_OWN if mostly_own else MOST_OTHERS
     # What it asks beyond its share must not make other engines read shared parts again.
     return MOST_OTHERS if mostly_own else 0
--- a/packages/loomyard-router/src/loomyard_router/admission/gate.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/gate.py
@@ -123,7 +123,7 @@
     def _place(self, waiter: Waiter) -> SlotPermit | None:
         request = waiter.request
         candidates = self._candidates(request, waiter.avoided)
-        target = self._choice.choose(request.affinity, candidates, request.head.attempt_id)
+        target = self._choice.choose(request.affinity_key, candidates, request.head.attempt_id)
         if target is None:
             return None
         self._loads.record_start(target)
--- a/packages/loomyard-router/src/loomyard_router/admission/place_client.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/place_client.py
@@ -154,7 +154,7 @@
             wait=int(max(0.0, wait) * MILLISECONDS),
             used=used or 0.0,
             cold_rate=cold_rate,
-            apart=request.suspicion >= APART_LEVEL,
+            apart=request.crash_count >= APART_LEVEL,
         )
         answer = self._request(message, wait) or self._request(evolve(message, wait=0), 0.0)
         if answer is None:
--- a/packages/loomyard-router/src/loomyard_router/admission/service_gates.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/service_gates.py
@@ -44,7 +44,7 @@
         terms = table.services.get(request.service) if table else None
         shared = terms is not None and (
             terms.engine is not None
-            or request.suspicion >= APART_LEVEL
+            or request.crash_count >= APART_LEVEL
             or self._all_cold(request.service)
         )
         return (self.engines if shared else self.plain).acquire(request, avoided)
--- a/packages/loomyard-router/src/loomyard_router/admission/slot_permit.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/slot_permit.py
@@ -25,14 +25,14 @@
         *,
         answered: Callable[[], None] | None = None,
         unused: Callable[[], None] | None = None,
-        taken: int = -1,
-        choice: int = -1,
-        expected: float = 0.0,
+        slots_in_use: int = -1,
+        target_rank: int = -1,
+        expected_ttft: float = 0.0,
     ) -> None:
         self.target = target
-        self.taken = taken
-        self.choice = choice
-        self.expected = expected
+        self.taken = slots_in_use
+        self.choice = target_rank
+        self.expected = expected_ttft
         self._released: Callable[[], None] | None = released
         self._answered = answered
         self._unused = unused
--- a/packages/loomyard-router/src/loomyard_router/announced/order_rollback_policy.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/order_rollback_policy.py
@@ -29,12 +29,12 @@
     def __init__(self, find_name: Callable[[str], str | None]) -> None:
         self._find_name = find_name
 
-    def retains(self, believed: KeyedRecord, said: KeyedRecord | None, *, copied: bool) -> bool:
-        if believed.value is None:
-            return said is not None and said.value is not None and copied
-        if self._find_name(believed.key) is None:
-            return copied
-        return said is None or said.value is None
-
-    def retention_seconds(self, believed: KeyedRecord) -> float:
-        return TAKEN_BACK_SECONDS if believed.value is None else ORDER_SECONDS
+    def retains(self, known: KeyedRecord, stored: KeyedRecord | None, *, stale: bool) -> bool:
+        if known.value is None:
+            return stored is not None and stored.value is not None and stale
+        if self._find_name(known.key) is None:
+            return stale
+        return stored is None or stored.value is None
+
+    def retention_seconds(self, known: KeyedRecord) -> float:
+        return TAKEN_BACK_SECONDS if known.value is None else ORDER_SECONDS
--- a/packages/loomyard-router/src/loomyard_router/announced/target_rollback_policy.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_rollback_policy.py
@@ -33,21 +33,21 @@
     ) -> None:
         self._decode = decode
 
-    def retains(self, believed: KeyedRecord, said: KeyedRecord | None, *, copied: bool) -> bool:
-        if believed.value is None:
-            return said is not None and said.value is not None and copied
-        if said is None:
+    def retains(self, known: KeyedRecord, stored: KeyedRecord | None, *, stale: bool) -> bool:
+        if known.value is None:
+            return stored is not None and stored.value is not None and stale
+        if stored is None:
             return True
-        if said.value is None:
+        if stored.value is None:
             return False
-        before, after = self._read(believed), self._read(said)
+        before, after = self._read(known), self._read(stored)
         if before is None or after is None or before.incarnation != after.incarnation:
-            return copied
+            return stale
         if before.draining != after.draining:
             return before.draining
-        return copied
+        return stale
 
-    def retention_seconds(self, believed: KeyedRecord) -> float:
+    def retention_seconds(self, known: KeyedRecord) -> float:
         return ANNOUNCED_SECONDS
 
     def _read(self, record: KeyedRecord) -> AnnouncedTarget | None:
--- a/packages/loomyard-router/src/loomyard_router/application.py
+++ b/packages/loomyard-router/src/loomyard_router/application.py
@@ -30,9 +30,9 @@
 from loomyard_router.parts import Parts, Platform
 from loomyard_router.requests.estimates import CostEstimates
 from loomyard_router.requests.journal import Journal
-from loomyard_router.requests.resume_holds import ResumeHolds
-from loomyard_router.requests.resuming import Resuming
-from loomyard_router.requests.serving import Serving
+from loomyard_router.requests.pending_resumes import PendingResumes
+from loomyard_router.requests.request_pipeline import RequestPipeline
+from loomyard_router.requests.stream_resumer import StreamResumer
 from loomyard_router.requests.stream_token import StreamTokens
 from loomyard_router.shares.fifo import make_fifo_policy
 from loomyard_router.shares.fleet import FleetPolicy, make_fleet_policy
@@ -64,14 +64,14 @@
         parts: Parts,
         callers: CallersApp,
         *,
-        serving: Serving,
+        serving: RequestPipeline,
         meters: Meters,
     ) -> None:
         self.parts = parts
         self.callers = callers
         self._settings = settings
         self._clock = platform.clock
-        self._serving = serving
+        self._pipeline = serving
         self._in_flight = InFlight(platform.clock)
         self._drained: GeventEvent | None = None
         self._server = CallerServer(
@@ -139,7 +139,7 @@
         self._drained = GeventEvent()
         emit(logger, Event.ROUTER_STOPPING, in_flight=len(self._in_flight))
         deadline = self._clock.now() + self._settings.drain_seconds
-        self._serving.stop()
+        self._pipeline.stop()
         self.parts.members.leave()
         self._in_flight.wait_idle(deadline)
         emit(logger, Event.ROUTER_STOPPED, in_flight=len(self._in_flight))
@@ -210,15 +210,15 @@
         ),
         journal=Journal(clock),
     )
-    resuming = Resuming(
+    resuming = StreamResumer(
         clock=clock,
         follower=follower,
         engine=platform.engine,
         tokens=StreamTokens(settings.fleet_secret),
-        holds=ResumeHolds(clock, parts.peers, settings.name, seconds=settings.resume_seconds),
+        pending=PendingResumes(clock, parts.peers, settings.name, seconds=settings.resume_seconds),
     )
     meters = Meters(clock)
-    serving = Serving(
+    serving = RequestPipeline(
         clock=clock,
         follower=parts.follower,
         policy=parts.policy,
@@ -227,7 +227,7 @@
         engine=platform.engine,
         estimates=CostEstimates(),
         journal=parts.journal,
-        resuming=resuming,
+        stream_resumer=resuming,
         meters=meters,
     )
     RefusalNotifier(clock, parts.members, parts.peers, serving.backlog)
@@ -241,7 +241,7 @@
         backlog=_join_backlogs(serving, parts.policy),
     )
     callers = CallersApp(
-        clock=clock, follower=follower, serving=serving, resuming=resuming, meters=meters
+        clock=clock, follower=follower, pipeline=serving, stream_resumer=resuming, meters=meters
     )
     return Application(settings, platform, parts, callers, serving=serving, meters=meters)
 
@@ -272,7 +272,7 @@
     )
 
 
-def _join_backlogs(serving: Serving, policy: SharePolicy) -> BacklogView:
+def _join_backlogs(serving: RequestPipeline, policy: SharePolicy) -> BacklogView:
     if isinstance(policy, FleetPolicy):
         return CombinedBacklog((serving.backlog, policy))
     return serving.backlog
--- a/packages/loomyard-router/src/loomyard_router/callers/app.py
+++ b/packages/loomyard-router/src/loomyard_router/callers/app.py
@@ -24,7 +24,7 @@
 )
 from loomyard_router.callers.request_reader import SERVICES_PREFIX, RequestReader
 from loomyard_router.requests.answer import Answer
-from loomyard_router.requests.presence import CallerPresence
+from loomyard_router.requests.caller_presence import CallerPresence
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -35,8 +35,8 @@
     from loomyard_router.configuration.follower import ConfigFollower
     from loomyard_router.metrics.meters import Meters
     from loomyard_router.requests.request import Request
-    from loomyard_router.requests.resuming import Resuming
-    from loomyard_router.requests.serving import Serving
+    from loomyard_router.requests.request_pipeline import RequestPipeline
+    from loomyard_router.requests.stream_resumer import StreamResumer
 
     StartResponse = Callable[[str, list[tuple[str, str]]], Any]
 
@@ -81,19 +81,19 @@
         *,
         clock: Clock,
         follower: ConfigFollower,
-        serving: Serving,
-        resuming: Resuming,
+        pipeline: RequestPipeline,
+        stream_resumer: StreamResumer,
         meters: Meters,
     ) -> None:
         self._meters = meters
-        self._resuming = resuming
+        self._stream_resumer = stream_resumer
         self._follower = follower
-        self._serving = serving
+        self._pipeline = pipeline
         self._reader = RequestReader(clock, follower)
 
     @property
     def ready(self) -> bool:
-        return self._follower.ready and not self._serving.stopping
+        return self._follower.ready and not self._pipeline.stopping
 
     def __call__(self, environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
         path = environ["PATH_INFO"]
@@ -115,7 +115,7 @@
                 return exchange.refuse(fault)
             case Ok(request):
                 exchange.idempotent = request.idempotent
-                return exchange.finish(self._serving.serve(request))
+                return exchange.finish(self._pipeline.serve(request))
         raise AssertionError("a result is a value or a fault")
 
     def _read(
@@ -131,12 +131,12 @@
     def _resume(self, environ: Environ, account: ClientAccount) -> Result[Answer, Fault]:
         if environ["REQUEST_METHOD"] not in ("GET", "POST"):
             return Err(Fault(code=ResultCode.METHOD_NOT_ALLOWED, detail="use GET or POST"))
-        return self._resuming.resume(
+        return self._stream_resumer.resume(
             account,
             environ["PATH_INFO"][len(STREAMS_PREFIX) :],
             environ.get(LAST_EVENT_HEADER),
             environ.get(PRESENCE_KEY) or CallerPresence(),
-            lambda: self._serving.stopping,
+            lambda: self._pipeline.stopping,
         )
 
     def _report(self, path: str, start_response: StartResponse) -> Iterable[bytes]:
--- a/packages/loomyard-router/src/loomyard_router/callers/handler.py
+++ b/packages/loomyard-router/src/loomyard_router/callers/handler.py
@@ -18,7 +18,7 @@
 from loomyard_router.callers.header_fields import HeaderFields, read_header_fields
 from loomyard_router.callers.presence_watch import PresenceWatch
 from loomyard_router.callers.problems import problem_document
-from loomyard_router.requests.presence import CallerPresence
+from loomyard_router.requests.caller_presence import CallerPresence
 from loomyard_router.requests.whole_answers import AnswerBrokenError
 
 if TYPE_CHECKING:
--- a/packages/loomyard-router/src/loomyard_router/callers/presence_watch.py
+++ b/packages/loomyard-router/src/loomyard_router/callers/presence_watch.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from gevent.socket import socket
 
-    from loomyard_router.requests.presence import CallerPresence
+    from loomyard_router.requests.caller_presence import CallerPresence
 
 READABLE = 1
 ESTABLISHED = 1
@@ -31,7 +31,7 @@
         self._readable = loop.io(sock.fileno(), READABLE)
         self._timer = loop.timer(CHECK_SECONDS, CHECK_SECONDS)
         self._readable.start(self._check)
-        presence.look_with(lambda: _is_connected(sock))
+        presence.set_probe(lambda: _is_connected(sock))
 
     def stop(self) -> None:
         """Watch no longer."""
@@ -46,7 +46,7 @@
             return
         self._timer.stop()
         self._readable.stop()
-        gevent.spawn(self._presence.leave)
+        gevent.spawn(self._presence.mark_gone)
 
 
 def _is_connected(sock: socket) -> bool:
--- a/packages/loomyard-router/src/loomyard_router/callers/request_reader.py
+++ b/packages/loomyard-router/src/loomyard_router/callers/request_reader.py
@@ -24,7 +24,7 @@
 )
 from loomyard_router.callers.handler import PRESENCE_KEY, TARGET_KEY
 from loomyard_router.callers.problems import JSON_TYPE
-from loomyard_router.requests.presence import CallerPresence
+from loomyard_router.requests.caller_presence import CallerPresence
 from loomyard_router.requests.request import Request
 
 if TYPE_CHECKING:
@@ -161,7 +161,7 @@
             path="/",
             arrived_at=self._clock.now(),
             deadline=common.deadline,
-            deadline_asked=DEADLINE_HEADER in environ,
+            has_caller_deadline=DEADLINE_HEADER in environ,
             idempotent=common.idempotent,
             key=common.key,
             cost_hint=common.cost_hint,
@@ -185,8 +185,8 @@
     if not request.stream:
         return
     options = document.get("stream_options") or {}
-    request.usage_asked = options.get("include_usage") is True
-    if not request.usage_asked:
+    request.usage_requested = options.get("include_usage") is True
+    if not request.usage_requested:
         document["stream_options"] = {**options, "include_usage": True}
         request.body = json.dumps(document).encode()
 
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_guard.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_guard.py
@@ -45,12 +45,12 @@
         if self._ledger.empty:
             return None
         until = self._ledger.blocked_until(request.fingerprint)
-        request.suspicion = self._ledger.level(request.fingerprint)
+        request.crash_count = self._ledger.level(request.fingerprint)
         if until is None:
             return None
         return Fault(
             code=ResultCode.ENDS_TARGETS,
-            detail=f"{request.suspicion} targets ended when they ran this request",
+            detail=f"{request.crash_count} targets ended when they ran this request",
             retry_after=until - self._clock.now(),
         )
 
@@ -58,13 +58,13 @@
         """Take in that a request is sent now."""
         known = not self._ledger.empty
         request.send_rank = self._ledger.next_rank(request.fingerprint) if known else 1
-        request.began_at = None
+        request.first_event_at = None
 
     def investigate_failure(
         self, request: RoutedRequest, target: AnnouncedTarget
     ) -> gevent.Greenlet:
         """Take in that a target broke a request off; return what finds out whether it ended."""
-        began = request.began_at
+        began = request.first_event_at
         runs = began is not None and self._clock.now() - began >= RUNS_SECONDS
         return gevent.spawn(
             self._find_out,
--- a/packages/loomyard-router/src/loomyard_router/crashes/liveness_probe.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/liveness_probe.py
@@ -12,7 +12,7 @@
     from loomyard_router.announced.announced_target import AnnouncedTarget
     from loomyard_router.announced.target_registry import TargetRegistry
     from loomyard_router.routed.connection_pool import ConnectionPool
-    from loomyard_router.routed.dialects import TargetDialect
+    from loomyard_router.routed.http_codecs import TargetCodec
     from loomyard_router.routed.target_connection import TargetConnection
     from loomyard_router.routes.table_holder import TableHolder
 
@@ -42,13 +42,13 @@
         clock: Clock,
         registry: TargetRegistry,
         pool: ConnectionPool,
-        dialect: TargetDialect,
+        codec: TargetCodec,
         holder: TableHolder,
     ) -> None:
         self._clock = clock
         self._registry = registry
         self._pool = pool
-        self._dialect = dialect
+        self._dialect = codec
         self._holder = holder
         self._saved = MOST_SAVED
         self._counted_at = clock.now()
@@ -64,7 +64,7 @@
             return False
         path = self._health_path(target)
         if not path or self._registry.is_backing_off(target) or not self._may_ask():
-            self._pool.keep(target, connection)
+            self._pool.release_unused(target, connection)
             return False
         return self._names_another(target, connection, path)
 
@@ -73,7 +73,7 @@
     ) -> bool:
         deadline = self._clock.now() + ANSWER_SECONDS
         try:
-            connection.send(self._dialect.render_health(path, target), b"", "GET", deadline)
+            connection.send(self._dialect.encode_health_check(path, target), b"", "GET", deadline)
             connection.read_head(deadline)
             while connection.read_block(deadline):
                 pass
@@ -81,9 +81,9 @@
             logger.debug("a target that broke an answer off does not say who it is: %r", error)
             connection.close()
             return False
-        word = self._dialect.read_health(connection.status, connection.headers)
-        self._pool.give_back(target, connection)
-        if word.lives is not None and word.lives != target.id:
+        word = self._dialect.decode_health_answer(connection.status, connection.headers)
+        self._pool.release(target, connection)
+        if word.instance_id is not None and word.instance_id != target.id:
             return True
         self._registry.apply_notice(target, word.notice)
         return False
--- a/packages/loomyard-router/src/loomyard_router/feeds/believed_records.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/believed_records.py
@@ -122,7 +122,7 @@
         for record in records:
             self._put(record)
             held = self._held.get(record.key)
-            if held is None or not self._policy.retains(held.record, record, copied=False):
+            if held is None or not self._policy.retains(held.record, record, stale=False):
                 self._held.pop(record.key, None)
                 changes.append(record)
         return changes
@@ -162,7 +162,7 @@
             copied = new is None or self._is_earlier(new)
             if record.value is not None and copied:
                 (lacked if new is None else older).append(key)
-            if self._policy.retains(record, new, copied=copied):
+            if self._policy.retains(record, new, stale=copied):
                 held[key] = _Held(record, now + self._policy.retention_seconds(record))
         self._held = held
         return Loss(self._position, position, tuple(lacked), tuple(older))
@@ -178,7 +178,7 @@
 
     def _stands(self, believed: KeyedRecord, said: KeyedRecord | None) -> bool:
         copied = said is None or self._is_earlier(said) or said.era < self._position.era
-        return self._policy.retains(believed, said, copied=copied)
+        return self._policy.retains(believed, said, stale=copied)
 
     def _recall(self, record: KeyedRecord) -> KeyedRecord:
         """Return the record itself where it is known already, also across a loss."""
--- a/packages/loomyard-router/src/loomyard_router/feeds/feed_follower.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/feed_follower.py
@@ -62,13 +62,13 @@
         clock: Clock,
         source: random.Random,
         *,
-        pace: float = 0.0,
+        min_read_interval: float = 0.0,
         era: StoreEra | None = None,
-        losses: RollbackPolicy | None = None,
+        rollback_policy: RollbackPolicy | None = None,
     ) -> None:
-        self._pace = pace
+        self._pace = min_read_interval
         self._era = era or StoreEra()
-        self._records = BelievedRecords(clock, losses or StoreIsRight())
+        self._records = BelievedRecords(clock, rollback_policy or StoreIsRight())
         self._feed = feed
         self._taker = taker
         self._clock = clock
--- a/packages/loomyard-router/src/loomyard_router/feeds/rollback_policy.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/rollback_policy.py
@@ -15,22 +15,22 @@
     believed stands until it is written again, or for as long as that may take.
     """
 
-    def retains(self, believed: KeyedRecord, said: KeyedRecord | None, *, copied: bool) -> bool:
+    def retains(self, known: KeyedRecord, stored: KeyedRecord | None, *, stale: bool) -> bool:
         """Tell whether a belief stands against what the store says of its key.
 
         ``believed`` without a value says that the key was dropped. ``said`` is ``None`` where a
         listing lacks the key. ``copied`` tells that it is known from before the loss.
         """
 
-    def retention_seconds(self, believed: KeyedRecord) -> float:
+    def retention_seconds(self, known: KeyedRecord) -> float:
         """Return how long a belief stands that is not written again."""
 
 
 class StoreIsRight:
     """Believe the store alone."""
 
-    def retains(self, believed: KeyedRecord, said: KeyedRecord | None, *, copied: bool) -> bool:
+    def retains(self, known: KeyedRecord, stored: KeyedRecord | None, *, stale: bool) -> bool:
         return False
 
-    def retention_seconds(self, believed: KeyedRecord) -> float:
+    def retention_seconds(self, known: KeyedRecord) -> float:
         return 0.0
--- a/packages/loomyard-router/src/loomyard_router/metrics/exposition.py
+++ b/packages/loomyard-router/src/loomyard_router/metrics/exposition.py
@@ -13,8 +13,8 @@
 from loomyard_router.admission.slot_metrics import SlotMetrics
 from loomyard_router.announced.target_metrics import TargetMetrics
 from loomyard_router.metrics.key_histograms import UNITS_PER_SECOND
-from loomyard_router.routed.answer_figures import AnswerFigures
-from loomyard_router.routed.body_figures import BodyFigures
+from loomyard_router.routed.body_metrics import BodyMetrics
+from loomyard_router.routed.unread_answer_metrics import UnreadAnswerMetrics
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Iterator
@@ -41,8 +41,8 @@
         feeds: Callable[[], Iterable[FeedState]] = tuple,
         announced: TargetMetrics | None = None,
         places: SlotMetrics | None = None,
-        bodies: BodyFigures | None = None,
-        unread: AnswerFigures | None = None,
+        bodies: BodyMetrics | None = None,
+        unread: UnreadAnswerMetrics | None = None,
     ) -> None:
         self._meters = meters
         self._traffic = traffic
@@ -50,8 +50,8 @@
         self._feeds = feeds
         self._announced = announced or TargetMetrics()
         self._places = places or SlotMetrics()
-        self._bodies = bodies or BodyFigures()
-        self._unread = unread or AnswerFigures()
+        self._bodies = bodies or BodyMetrics()
+        self._unread = unread or UnreadAnswerMetrics()
 
     def collect(self) -> Iterator[Metric]:
         yield from self._phases()
@@ -211,12 +211,12 @@
 
     def _body_states(self) -> Iterator[Metric]:
         yield _gauge(
-            "loomyard_body_bytes_held", "bytes of request bodies held now", self._bodies.lent
+            "loomyard_body_bytes_held", "bytes of request bodies held now", self._bodies.held_bytes
         )
         yield _gauge(
             "loomyard_body_bytes_held_most",
             "bytes of request bodies held at the most since the start",
-            self._bodies.peak,
+            self._bodies.peak_bytes,
         )
         yield _counter(
             "loomyard_bodies_refused",
@@ -226,12 +226,12 @@
         yield _counter(
             "loomyard_answers_unread",
             "answers taken off their targets, as their callers did not read",
-            self._unread.taken_off,
+            self._unread.buffered,
         )
         yield _counter(
             "loomyard_answers_given_up",
             "unread answers broken off for want of room",
-            self._unread.given_up,
+            self._unread.aborted,
         )
 
 
--- a/packages/loomyard-router/src/loomyard_router/metrics/lazy_server.py
+++ b/packages/loomyard-router/src/loomyard_router/metrics/lazy_server.py
@@ -18,8 +18,8 @@
     from loomyard_router.feeds.feed_state import FeedState
     from loomyard_router.metrics.meters import Meters
     from loomyard_router.peers.traffic import TrafficCounters
-    from loomyard_router.routed.answer_figures import AnswerFigures
-    from loomyard_router.routed.body_figures import BodyFigures
+    from loomyard_router.routed.body_metrics import BodyMetrics
+    from loomyard_router.routed.unread_answer_metrics import UnreadAnswerMetrics
 
 
 class LazyMetricsServer(OptionalListener):
@@ -49,8 +49,8 @@
     feeds: Callable[[], Iterable[FeedState]],
     announced: TargetMetrics,
     places: SlotMetrics,
-    bodies: BodyFigures,
-    unread: AnswerFigures,
+    bodies: BodyMetrics,
+    unread: UnreadAnswerMetrics,
 ) -> LazyMetricsServer:
     """Make the listener; without an address it does nothing."""
 
--- a/packages/loomyard-router/src/loomyard_router/platform/callers.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/callers.py
@@ -11,7 +11,7 @@
 from loomyard.errors import Executed, Fault, ResultCode
 from loomyard_router.callers.problems import status_of
 from loomyard_router.platform import names
-from loomyard_router.routed.dialects import Glance
+from loomyard_router.routed.http_codecs import HeadPreview
 from loomyard_router.routed.request_head import PromptPart, RequestHead
 
 if TYPE_CHECKING:
@@ -76,7 +76,9 @@
 
     id_header = names.ATTEMPT_ID
 
-    def read_head(self, headers: list[tuple[str, str]], now: float) -> Result[RequestHead, Fault]:
+    def decode_request_head(
+        self, headers: list[tuple[str, str]], now: float
+    ) -> Result[RequestHead, Fault]:
         fields = {name.lower(): value.strip() for name, value in headers}
         attempt_id = fields.get(names.ATTEMPT_ID.lower(), "")
         if not attempt_id:
@@ -86,15 +88,15 @@
         except ValueError as error:
             return Err(_malformed(f"a header can't be read: {error}"))
 
-    def glance(self, head: bytes) -> Glance:
+    def preview_head(self, head: bytes) -> HeadPreview:
         attempt_id, key = ID_LINE.search(head), KEY_LINE.search(head)
-        return Glance(
+        return HeadPreview(
             attempt_id=attempt_id[1].decode("latin-1") if attempt_id else "",
             key=key[1].decode("latin-1") if key else "",
-            prompted=PROMPT_LINE.search(head) is not None,
+            has_prompt=PROMPT_LINE.search(head) is not None,
         )
 
-    def refusal(self, fault: Fault) -> tuple[int, list[tuple[str, str]]]:
+    def encode_refusal(self, fault: Fault) -> tuple[int, list[tuple[str, str]]]:
         if fault.executed is not Executed.NO:
             late = fault.code is ResultCode.ANSWER_LATE
             return (HTTPStatus.GATEWAY_TIMEOUT if late else HTTPStatus.BAD_GATEWAY), []
@@ -121,10 +123,12 @@
             attempt_id=attempt_id,
             deadline=now + seconds,
             key=_key(fields.get(names.AUTHORIZATION.lower(), "")),
-            passed=[(name, value) for name, value in headers if _is_passed(name.lower(), named)],
+            forwarded_headers=[
+                (name, value) for name, value in headers if _is_passed(name.lower(), named)
+            ],
             prompt=_parts(fields.get(names.PROMPT_PARTS.lower(), "")),
             prompt_tokens=int(prompt_tokens or 0),
-            most_output_tokens=int(most_output or 0),
+            max_output_tokens=int(most_output or 0),
             output_hint=None if hint is None else int(float(hint)),
             last_event=fields.get(names.LAST_EVENT_ID.lower(), ""),
         )
--- a/packages/loomyard-router/src/loomyard_router/platform/targets.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/targets.py
@@ -8,7 +8,7 @@
 from loomyard.util.seconds import read_seconds
 from loomyard_router.announced.target_notice import NO_NOTICE, TargetNotice
 from loomyard_router.platform import names
-from loomyard_router.routed.dialects import AnswerWord, HealthWord
+from loomyard_router.routed.http_codecs import AnswerHead, HealthAnswer
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -20,11 +20,11 @@
 class PlatformTargets:
     """The ``TargetDialect`` of the platform."""
 
-    def render_head(
+    def encode_request_head(
         self, request: RoutedRequest, target: AnnouncedTarget, *, milliseconds: int, last_event: str
     ) -> bytes:
         lines = [f"{request.method} {request.path} HTTP/1.1"]
-        lines += [f"{name}: {value}" for name, value in request.head.passed]
+        lines += [f"{name}: {value}" for name, value in request.head.forwarded_headers]
         lines.append(f"{names.DEADLINE_MS}: {milliseconds}")
         lines.append(f"{names.EXPECTED_TARGET}: {target.id}")
         if request.account is not None:
@@ -35,26 +35,26 @@
             lines.append(f"Content-Length: {len(request.body)}")
         return "\r\n".join([*lines, "", ""]).encode("latin-1")
 
-    def render_health(self, path: str, target: AnnouncedTarget) -> bytes:
+    def encode_health_check(self, path: str, target: AnnouncedTarget) -> bytes:
         return f"GET {path} HTTP/1.1\r\nHost: {target.address}\r\n\r\n".encode("latin-1")
 
-    def read_health(self, status: int, headers: list[tuple[str, str]]) -> HealthWord:
+    def decode_health_answer(self, status: int, headers: list[tuple[str, str]]) -> HealthAnswer:
         fields = {name.lower(): value for name, value in headers}
         named = fields.get(names.INSTANCE.lower())
         if named is None and status in (HTTPStatus.BAD_GATEWAY, HTTPStatus.GATEWAY_TIMEOUT):
             named = ""
-        return HealthWord(lives=named, notice=_read_notice(status, fields))
+        return HealthAnswer(instance_id=named, notice=_read_notice(status, fields))
 
-    def read_word(self, status: int, headers: list[tuple[str, str]]) -> AnswerWord:
+    def decode_answer_head(self, status: int, headers: list[tuple[str, str]]) -> AnswerHead:
         fields = {name.lower(): value for name, value in headers}
         attempt_id = fields.get(names.ATTEMPT_ID.lower(), "")
         refused = names.NOT_RUN.lower() in fields or status == HTTPStatus.MISDIRECTED_REQUEST
         success = HTTPStatus.OK <= status < HTTPStatus.MULTIPLE_CHOICES
         encoded = "content-encoding" in fields
-        return AnswerWord(
+        return AnswerHead(
             attempt_id=attempt_id,
-            not_run=refused,
-            vouched=not success or (names.STAMP.lower() in fields and not encoded),
+            not_executed=refused,
+            authentic=not success or (names.STAMP.lower() in fields and not encoded),
             notice=_read_notice(status, fields),
         )
 
--- a/packages/loomyard-router/src/loomyard_router/requests/presence.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/caller_presence.py
@@ -20,14 +20,14 @@
     def gone(self) -> bool:
         return self._gone
 
-    def look_with(self, connected: Callable[[], bool]) -> None:
+    def set_probe(self, connected: Callable[[], bool]) -> None:
         """Take a way to look whether the caller is there, besides being told."""
         self._connected = connected
 
-    def look(self) -> bool:
+    def check(self) -> bool:
         """Look now; where the process is busy, the word that a caller went comes late."""
         if not self._gone and self._connected is not None and not self._connected():
-            self.leave()
+            self.mark_gone()
         return not self._gone
 
     def subscribe(self, listener: Callable[[], None]) -> None:
@@ -42,7 +42,7 @@
         if listener in self._listeners:
             self._listeners.remove(listener)
 
-    def leave(self) -> None:
+    def mark_gone(self) -> None:
         """Take in that the caller has gone."""
         if self._gone:
             return
--- a/packages/loomyard-router/src/loomyard_router/requests/estimates.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/estimates.py
@@ -28,7 +28,7 @@
             return mean
         return min(mean * MOST_OVER_MEAN, max(mean / MOST_OVER_MEAN, sqrt(mean * hint)))
 
-    def learn(self, account: ClientAccount, service: Service, cost: float) -> None:
+    def record(self, account: ClientAccount, service: Service, cost: float) -> None:
         """Take a settled cost in."""
         key = (account.metadata.name, service.metadata.name)
         mean = self._means.get(key)
--- a/packages/loomyard-router/src/loomyard_router/requests/resume_holds.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/pending_resumes.py
@@ -18,7 +18,7 @@
 REMEMBERED_ATTEMPTS = 4096
 
 
-class ResumeHolds:
+class PendingResumes:
     """Cancel the work of a stream only when its caller has not resumed within some seconds."""
 
     def __init__(self, clock: Clock, peers: PeerLinks, router: str, *, seconds: float) -> None:
--- a/packages/loomyard-router/src/loomyard_router/requests/request.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/request.py
@@ -5,7 +5,7 @@
 from attrs import define, field
 
 from loomyard.objects import ClientAccount, Service
-from loomyard_router.requests.presence import CallerPresence
+from loomyard_router.requests.caller_presence import CallerPresence
 
 
 @define(kw_only=True, eq=False)
@@ -32,6 +32,6 @@
     key: str | None = None
     cost_hint: float | None = None
     prefix: str = ""
-    usage_asked: bool = True
-    deadline_asked: bool = False
+    usage_requested: bool = True
+    has_caller_deadline: bool = False
     presence: CallerPresence = field(factory=CallerPresence)
--- a/packages/loomyard-router/src/loomyard_router/requests/serving.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/request_pipeline.py
@@ -36,12 +36,12 @@
     from loomyard_router.requests.estimates import CostEstimates
     from loomyard_router.requests.journal import Journal
     from loomyard_router.requests.request import Request
-    from loomyard_router.requests.resuming import Resuming
+    from loomyard_router.requests.stream_resumer import StreamResumer
     from loomyard_router.shares.policy import SharePolicy
     from loomyard_router.targets.directory import TargetDirectory
 
 
-class Serving:
+class RequestPipeline:
     """Serve requests of callers."""
 
     def __init__(
@@ -55,7 +55,7 @@
         engine: Engine,
         estimates: CostEstimates,
         journal: Journal,
-        resuming: Resuming,
+        stream_resumer: StreamResumer,
         meters: Meters,
         retries: Retries | None = None,
     ) -> None:
@@ -63,7 +63,7 @@
         self._claims = claims
         self._engine = engine
         self._journal = journal
-        self._resuming = resuming
+        self._resuming = stream_resumer
         self._meters = meters
         self._retries = retries or Retries(clock)
         self._queue = SlotQueue(
--- a/packages/loomyard-router/src/loomyard_router/requests/retry_budget.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/retry_budget.py
@@ -23,10 +23,10 @@
         self,
         *,
         per_request: float = TOKENS_PER_REQUEST,
-        most: Callable[[], float] = lambda: MAX_TOKENS,
+        max_tokens: Callable[[], float] = lambda: MAX_TOKENS,
     ) -> None:
         self._per_request = per_request
-        self._most = most
+        self._most = max_tokens
         self._tokens: OrderedDict[str, float] = OrderedDict()
 
     def deposit(self, key: str) -> None:
--- a/packages/loomyard-router/src/loomyard_router/requests/settlement.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/settlement.py
@@ -53,7 +53,7 @@
         if not self._open:
             return
         cost = self._cost(usage, events)
-        self._estimates.learn(self._request.account, self._request.service, cost)
+        self._estimates.record(self._request.account, self._request.service, cost)
         self._finish(cost)
 
     def settle_uncertain(self) -> None:
--- a/packages/loomyard-router/src/loomyard_router/requests/stream_answers.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/stream_answers.py
@@ -29,7 +29,7 @@
     from loomyard_router.requests.attempt import Attempt
     from loomyard_router.requests.claimed_run import ClaimedRun
     from loomyard_router.requests.request import Request
-    from loomyard_router.requests.resuming import Resuming
+    from loomyard_router.requests.stream_resumer import StreamResumer
 
 logger = logging.getLogger(__name__)
 
@@ -47,7 +47,7 @@
         request: Request,
         attempt: Attempt,
         run: ClaimedRun,
-        resuming: Resuming,
+        resuming: StreamResumer,
         meters: Meters,
     ) -> None:
         self._clock = clock
@@ -57,7 +57,7 @@
         self._run = run
         self._resuming = resuming
         self._meters = meters
-        self._stream = EventStream(drop_usage=not request.usage_asked)
+        self._stream = EventStream(drop_usage=not request.usage_requested)
         self._relay = StreamRelay(attempt.answer, self._stream, self._resume)
         self._charged = 0
         self._charged_at = 0.0
@@ -110,7 +110,7 @@
 
     def _is_late(self) -> bool:
         request = self._request
-        return request.deadline_asked and self._clock.now() >= request.deadline
+        return request.has_caller_deadline and self._clock.now() >= request.deadline
 
     def _charge(self) -> None:
         events = self._stream.events
--- a/packages/loomyard-router/src/loomyard_router/requests/resuming.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/stream_resumer.py
@@ -29,9 +29,9 @@
     from loomyard.outside.engine import Engine
     from loomyard_router.configuration.follower import ConfigFollower
     from loomyard_router.requests.attempt import Attempt
-    from loomyard_router.requests.presence import CallerPresence
+    from loomyard_router.requests.caller_presence import CallerPresence
+    from loomyard_router.requests.pending_resumes import PendingResumes
     from loomyard_router.requests.request import Request
-    from loomyard_router.requests.resume_holds import ResumeHolds
     from loomyard_router.requests.stream_token import StreamTokens
 
 logger = logging.getLogger(__name__)
@@ -40,7 +40,7 @@
 _EVENT_ID = re.compile(r"[0-9]{1,18}\Z")
 
 
-class Resuming:
+class StreamResumer:
     """Name streams so that they can be resumed, and resume them.
 
     A resumed stream takes no slot: its work runs at the engine already, or is over.
@@ -53,9 +53,9 @@
         follower: ConfigFollower,
         engine: Engine,
         tokens: StreamTokens,
-        holds: ResumeHolds,
+        pending: PendingResumes,
     ) -> None:
-        self.holds = holds
+        self.holds = pending
         self._clock = clock
         self._follower = follower
         self._engine = engine
@@ -70,7 +70,7 @@
                 target=attempt.target,
                 number=attempt.number,
                 router=self.holds.router,
-                usage_asked=request.usage_asked,
+                usage_asked=request.usage_requested,
             )
         )
 
--- a/packages/loomyard-router/src/loomyard_router/routed/app.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/app.py
@@ -13,7 +13,7 @@
 from loomyard_router.callers.handler import PRESENCE_KEY, TARGET_KEY
 from loomyard_router.callers.problems import status_line
 from loomyard_router.metrics.phase import Phase
-from loomyard_router.requests.presence import CallerPresence
+from loomyard_router.requests.caller_presence import CallerPresence
 from loomyard_router.routed.body_reading import read_body
 from loomyard_router.routed.reported_body import ReportedBody
 from loomyard_router.routed.routed_request import PUBLIC_ACCOUNT, RoutedRequest
@@ -25,8 +25,8 @@
     from loomyard_router.metrics.meters import Meters
     from loomyard_router.requests.answer import Answer
     from loomyard_router.routed.body_budget import BodyBudget
-    from loomyard_router.routed.dialects import CallerDialect
     from loomyard_router.routed.forwarder import Forwarder
+    from loomyard_router.routed.http_codecs import CallerCodec
     from loomyard_router.routed.request_head import RequestHead
     from loomyard_router.routes.account_terms import AccountTerms
     from loomyard_router.routes.route import Route
@@ -57,22 +57,22 @@
         *,
         clock: Clock,
         holder: TableHolder,
-        dialect: CallerDialect,
+        codec: CallerCodec,
         forwarder: Forwarder,
         meters: Meters,
-        ending: Callable[[], bool],
-        closing: Callable[[], bool] = lambda: False,
+        closing_connections: Callable[[], bool],
+        refusing_requests: Callable[[], bool] = lambda: False,
         overloaded: Callable[[], bool] = lambda: False,
         bodies: BodyBudget,
     ) -> None:
         self._clock = clock
         self._bodies = bodies
         self._holder = holder
-        self._dialect = dialect
+        self._dialect = codec
         self._forwarder = forwarder
         self._meters = meters
-        self._ending = ending
-        self._closing = closing
+        self._ending = closing_connections
+        self._closing = refusing_requests
         self._overloaded = overloaded
 
     def __call__(self, environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
@@ -104,7 +104,7 @@
             detail = "this router knows no configuration yet"
             code = ResultCode.NOT_READY
             return Err(Fault(code=code, detail=detail, retry_after=NOT_READY_RETRY_AFTER))
-        head = self._dialect.read_head(headers, now)
+        head = self._dialect.decode_request_head(headers, now)
         if head.is_err():
             return Err(head.unwrap_err())
         target = environ[TARGET_KEY]
@@ -194,7 +194,7 @@
         fault: Fault,
         request: RoutedRequest | None,
     ) -> Iterable[bytes]:
-        status, headers = self._dialect.refusal(fault)
+        status, headers = self._dialect.encode_refusal(fault)
         if request is not None:
             self._end(
                 request,
@@ -257,11 +257,11 @@
             attempts=trace.attempts,
             taken=trace.taken,
             choice=trace.choice,
-            objection=trace.objection,
+            objection=trace.refusal_reason,
             expected_ms=round(trace.expected * 1000),
             share_used=None if trace.share_used is None else round(trace.share_used, 2),
             prompt=request.head.prompt_tokens,
-            shared=request.shared_tokens,
+            shared=request.shared_prompt_tokens,
             cost=round(request.cost),
             placed_ms=_milliseconds(request.arrived_at, trace.placed_at),
             first_ms=_milliseconds(request.arrived_at, trace.first_at),
--- a/packages/loomyard-router/src/loomyard_router/routed/sender.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/attempt_sender.py
@@ -21,7 +21,7 @@
     from loomyard.clock import Clock
     from loomyard_router.announced.target_registry import TargetRegistry
     from loomyard_router.routed.connection_pool import ConnectionPool
-    from loomyard_router.routed.dialects import TargetDialect
+    from loomyard_router.routed.http_codecs import TargetCodec
     from loomyard_router.routed.routed_request import RoutedRequest
 
 MILLISECONDS = 1000
@@ -43,11 +43,11 @@
         return self.status >= SERVER_ERROR
 
 
-class Sender:
+class AttemptSender:
     """Send requests; no attempt is ever sent twice here."""
 
     def __init__(
-        self, clock: Clock, registry: TargetRegistry, pool: ConnectionPool, dialect: TargetDialect
+        self, clock: Clock, registry: TargetRegistry, pool: ConnectionPool, dialect: TargetCodec
     ) -> None:
         self._clock = clock
         self._registry = registry
@@ -63,7 +63,7 @@
         ``ANSWER_LOST``, ``ANSWER_INVALID``, ``ANSWER_LATE``: it may have run. ``CALLER_GONE``.
         """
         try:
-            connection = self._pool.take(place.target, repeatable=request.route.repeatable)
+            connection = self._pool.acquire(place.target, repeatable=request.route.repeatable)
         except OSError as error:
             return Err(self._judge_unconnected(error))
         request.presence.subscribe(connection.close)
@@ -91,7 +91,7 @@
     def finish(self, request: RoutedRequest, exchange: Exchange) -> None:
         """Keep the connection if its answer was read whole, and close it otherwise."""
         request.presence.unsubscribe(exchange.connection.close)
-        self._pool.give_back(exchange.place.target, exchange.connection)
+        self._pool.release(exchange.place.target, exchange.connection)
 
     def _exchange(
         self,
@@ -102,7 +102,7 @@
         answer_by: float,
     ) -> Result[Exchange, Fault]:
         left = request.deadline - self._clock.now()
-        head = self._dialect.render_head(
+        head = self._dialect.encode_request_head(
             request,
             place.target,
             milliseconds=max(1, math.floor(left * MILLISECONDS)),
@@ -111,21 +111,21 @@
         connection.send(head, request.body, request.method, answer_by)
         connection.read_head(answer_by)
         headers = connection.headers
-        word = self._dialect.read_word(connection.status, headers)
+        word = self._dialect.decode_answer_head(connection.status, headers)
         self._registry.apply_notice(place.target, word.notice)
         if word.attempt_id and word.attempt_id != request.head.attempt_id:
             connection.close()
             return Err(_maybe_run(ResultCode.ANSWER_INVALID, "the answer is to another attempt"))
-        if word.not_run:
+        if word.not_executed:
             self._read_out(connection, answer_by)
             request.presence.unsubscribe(connection.close)
-            self._pool.give_back(place.target, connection)
+            self._pool.release(place.target, connection)
             detail = f"the target did not run it: status {connection.status}"
             return Err(Fault(code=ResultCode.TARGET_REFUSED, detail=detail))
         if not word.attempt_id:
             connection.close()
             return Err(_maybe_run(ResultCode.ANSWER_INVALID, "the answer names no attempt"))
-        if not word.vouched:
+        if not word.authentic:
             connection.close()
             return Err(_maybe_run(ResultCode.ANSWER_INVALID, "no target vouches for the answer"))
         return Ok(
--- a/packages/loomyard-router/src/loomyard_router/routed/body_budget.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/body_budget.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from loomyard.errors import Fault, ResultCode
-from loomyard_router.routed.body_figures import BodyFigures
+from loomyard_router.routed.body_metrics import BodyMetrics
 
 if TYPE_CHECKING:
     import random
@@ -46,10 +46,12 @@
         return self._lent
 
     @property
-    def figures(self) -> BodyFigures:
+    def metrics(self) -> BodyMetrics:
         """Return what operators see of it."""
-        return BodyFigures(
-            lent=lambda: self._lent, peak=lambda: self.peak, refused=lambda: self.refused
+        return BodyMetrics(
+            held_bytes=lambda: self._lent,
+            peak_bytes=lambda: self.peak,
+            refused=lambda: self.refused,
         )
 
     def open(self, account: str) -> BodyLease:
--- a/packages/loomyard-router/src/loomyard_router/routed/body_figures.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/body_metrics.py
@@ -8,9 +8,9 @@
 
 
 @frozen(kw_only=True)
-class BodyFigures:
+class BodyMetrics:
     """Reads for metrics: bytes now and at the most, and bodies refused since the start."""
 
-    lent: Callable[[], int] = lambda: 0
-    peak: Callable[[], int] = lambda: 0
+    held_bytes: Callable[[], int] = lambda: 0
+    peak_bytes: Callable[[], int] = lambda: 0
     refused: Callable[[], int] = lambda: 0
--- a/packages/loomyard-router/src/loomyard_router/routed/connection_pool.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/connection_pool.py
@@ -42,7 +42,7 @@
         self._idle: dict[TargetIncarnation, list[_Idle]] = {}
         self.opened = 0
 
-    def take(self, target: AnnouncedTarget, *, repeatable: bool) -> TargetConnection:
+    def acquire(self, target: AnnouncedTarget, *, repeatable: bool) -> TargetConnection:
         """Return a kept or a new connection. Errors: ``OSError``; nothing was sent then."""
         now = self._clock.now()
         idle = self._idle.get(target.incarnation, [])
@@ -59,18 +59,18 @@
         self.opened += 1
         return connect(target.address, self._clock, seconds, self._watch)
 
-    def give_back(self, target: AnnouncedTarget, connection: TargetConnection) -> None:
+    def release(self, target: AnnouncedTarget, connection: TargetConnection) -> None:
         """Keep a connection if it may be used again, and close it otherwise."""
         if connection.reusable:
             self._keep(target, connection, _idle_seconds(connection.headers))
         else:
             connection.close()
 
-    def keep(self, target: AnnouncedTarget, connection: TargetConnection) -> None:
+    def release_unused(self, target: AnnouncedTarget, connection: TargetConnection) -> None:
         """Keep a connection on which nothing was sent."""
         self._keep(target, connection, MOST_IDLE_SECONDS)
 
-    def forget(self, known: set[TargetIncarnation]) -> None:
+    def retain(self, known: set[TargetIncarnation]) -> None:
         """Close what is kept to targets that are not known any more, and what is too old."""
         now = self._clock.now()
         for life, idle in list(self._idle.items()):
--- a/packages/loomyard-router/src/loomyard_router/routed/early_refusal.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/early_refusal.py
@@ -20,7 +20,7 @@
     from loomyard_router.admission.account_backlog import AccountBacklog
     from loomyard_router.admission.waiting_time import RetryHint
     from loomyard_router.metrics.meters import Meters
-    from loomyard_router.routed.dialects import CallerDialect
+    from loomyard_router.routed.http_codecs import CallerCodec
     from loomyard_router.routes.table_holder import TableHolder
 
 logger = logging.getLogger(__name__)
@@ -52,17 +52,17 @@
         self,
         *,
         holder: TableHolder,
-        dialect: CallerDialect,
-        waiting: AccountBacklog,
+        codec: CallerCodec,
+        backlog: AccountBacklog,
         overloaded: Callable[[], bool],
-        hint: RetryHint,
+        retry_hint: RetryHint,
         meters: Meters,
     ) -> None:
         self._holder = holder
-        self._dialect = dialect
-        self._waiting = waiting
+        self._dialect = codec
+        self._waiting = backlog
         self._overloaded = overloaded
-        self._hint = hint
+        self._hint = retry_hint
         self._meters = meters
         self._counts: Counter[str] = Counter()
         self._late = 0
@@ -86,7 +86,7 @@
         if fault is None:
             return None
         self._meters.count(fault.code)
-        status, headers = self._dialect.refusal(fault)
+        status, headers = self._dialect.encode_refusal(fault)
         lines = [f"{name}: {value}\r\n" for name, value in headers]
         answer = (
             f"HTTP/1.1 {status_line(status)}\r\n{''.join(lines)}"
@@ -98,12 +98,12 @@
         table = self._holder.table
         if table is None:
             return None
-        glance = self._dialect.glance(head)
+        glance = self._dialect.preview_head(head)
         account = table.authenticate(glance.key) if glance.key else None
         name = "" if account is None else account.name
         if self._overloaded():
             fault = self._hint.make_refusal(ResultCode.ROUTER_OVERLOADED, "this router is behind")
-        elif name and glance.prompted and self._waiting.is_full(name):
+        elif name and glance.has_prompt and self._waiting.is_full(name):
             fault = self._hint.make_refusal(ResultCode.QUEUE_FULL, "too many requests wait here")
         else:
             return None
--- a/packages/loomyard-router/src/loomyard_router/routed/event_pace.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/event_coalescer.py
@@ -16,7 +16,7 @@
 
 
 @frozen(kw_only=True)
-class EventPace:
+class EventCoalescer:
     """Let events that come meanwhile travel with the next one, while the router is behind.
 
     Events come every 35 ms and each wakes a task, is parsed and written, for 80 microseconds; a
@@ -25,10 +25,10 @@
     """
 
     clock: Clock
-    most: float
+    max_delay: float
     lag: Callable[[], float]
 
     def hold(self) -> None:
         """Wait before the next read of a stream, if this router is behind."""
-        if self.most and self.lag() > BEHIND_SECONDS:
-            self.clock.sleep(HELD_PART * self.most)
+        if self.max_delay and self.lag() > BEHIND_SECONDS:
+            self.clock.sleep(HELD_PART * self.max_delay)
--- a/packages/loomyard-router/src/loomyard_router/routed/forwarder.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/forwarder.py
@@ -28,9 +28,9 @@
     from loomyard_router.announced.target_registry import TargetRegistry
     from loomyard_router.crashes.crash_guard import CrashGuard
     from loomyard_router.requests.retry_budget import RetryBudget
-    from loomyard_router.routed.event_pace import EventPace
+    from loomyard_router.routed.attempt_sender import AttemptSender, Exchange
+    from loomyard_router.routed.event_coalescer import EventCoalescer
     from loomyard_router.routed.routed_request import RoutedRequest
-    from loomyard_router.routed.sender import Exchange, Sender
 
 logger = logging.getLogger(__name__)
 
@@ -64,13 +64,13 @@
         *,
         clock: Clock,
         gate: AdmissionGate,
-        sender: Sender,
+        sender: AttemptSender,
         health: EjectionTracker,
         registry: TargetRegistry,
         guard: CrashGuard,
-        budget: RetryBudget,
-        pace: EventPace,
-        unread: UnreadAnswers,
+        retry_budget: RetryBudget,
+        coalescer: EventCoalescer,
+        unread_answers: UnreadAnswers,
     ) -> None:
         self._clock = clock
         self._gate = gate
@@ -78,9 +78,9 @@
         self._health = health
         self._registry = registry
         self._guard = guard
-        self._budget = budget
-        self._pace = pace
-        self._unread = unread
+        self._budget = retry_budget
+        self._pace = coalescer
+        self._unread = unread_answers
 
     def forward(self, request: RoutedRequest) -> Result[Answer, Fault]:
         """Serve a request.
@@ -113,7 +113,7 @@
                 fault = taken.unwrap_err()
                 return Err(evolve(fault, executed=executed) if attempts else fault)
             place = taken.unwrap()
-            if not request.presence.look():
+            if not request.presence.check():
                 place.return_unused()
                 fault = Fault(code=ResultCode.CALLER_GONE, detail="the caller left")
                 return Err(evolve(fault, executed=executed))
@@ -206,8 +206,8 @@
         try:
             if _is_stream(exchange):
                 first = exchange.connection.read_block(request.deadline)
-                request.began_at = self._clock.now()
-                request.trace.answer(request.began_at)
+                request.first_event_at = self._clock.now()
+                request.trace.answer(request.first_event_at)
                 place.record_answer_start()
                 self._health.record_success(place.target)
                 self._guard.record_response(place.target)
@@ -291,7 +291,10 @@
         more: dict[str, object] = {}
         if fault.code is ResultCode.TARGET_REFUSED:
             # A target refuses for want of a place, or for a header that it can't honour.
-            more = {"taken": place.taken, "sent": [name for name, _ in request.head.passed]}
+            more = {
+                "taken": place.taken,
+                "sent": [name for name, _ in request.head.forwarded_headers],
+            }
         emit(
             logger,
             Event.ATTEMPT_FAILED,
--- a/packages/loomyard-router/src/loomyard_router/routed/dialects.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/http_codecs.py
@@ -18,68 +18,70 @@
 
 
 @frozen(kw_only=True)
-class Glance:
+class HeadPreview:
     """What the bytes of a head tell; a request that is ``prompted`` is meant for an engine."""
 
     attempt_id: str
     key: str
-    prompted: bool
+    has_prompt: bool
 
 
-class CallerDialect(Protocol):
+class CallerCodec(Protocol):
     """Read heads of callers and word refusals."""
 
     @property
     def id_header(self) -> str:
         """Return the header that names a request, for logs."""
 
-    def read_head(self, headers: list[tuple[str, str]], now: float) -> Result[RequestHead, Fault]:
+    def decode_request_head(
+        self, headers: list[tuple[str, str]], now: float
+    ) -> Result[RequestHead, Fault]:
         """Decode the headers of a request. Errors: ``MALFORMED_REQUEST``."""
 
-    def glance(self, head: bytes) -> Glance:
+    def preview_head(self, head: bytes) -> HeadPreview:
         """Find in a head what decides whether it is worth decoding."""
 
-    def refusal(self, fault: Fault) -> tuple[int, list[tuple[str, str]]]:
+    def encode_refusal(self, fault: Fault) -> tuple[int, list[tuple[str, str]]]:
         """Return status and headers of a final answer that is no target's."""
 
 
 @frozen(kw_only=True)
-class AnswerWord:
+class AnswerHead:
     """What a target's head says: for which attempt it is, that it ran nothing, and of itself.
 
     ``vouched`` is false for a success that lacks the mark by which callers know a target's answer.
     """
 
     attempt_id: str
-    not_run: bool
-    vouched: bool = True
+    not_executed: bool
+    authentic: bool = True
     notice: TargetNotice = NO_NOTICE
 
 
 @frozen(kw_only=True)
-class HealthWord:
+class HealthAnswer:
     """What the answer to a question for health says: who lives there, and of itself.
 
     ``lives`` is empty for an error of what stands in front, ``None`` where it tells nothing.
     """
 
-    lives: str | None
+    instance_id: str | None
     notice: TargetNotice = NO_NOTICE
 
 
-class TargetDialect(Protocol):
+class TargetCodec(Protocol):
     """Word requests to targets and read the heads of their answers."""
 
-    def render_head(
+    def encode_request_head(
         self, request: RoutedRequest, target: AnnouncedTarget, *, milliseconds: int, last_event: str
     ) -> bytes:
         """Return the head with its empty line; ``milliseconds`` is what the target may take."""
 
-    def read_word(self, status: int, headers: list[tuple[str, str]]) -> AnswerWord:
+    def decode_answer_head(self, status: int, headers: list[tuple[str, str]]) -> AnswerHead:
         """Read what the head of an answer says."""
 
-    def render_health(self, path: str, target: AnnouncedTarget) -> bytes:
+    def encode_health_check(self, path: str, target: AnnouncedTarget) -> bytes:
         """Return the head of a question who lives at a target's address."""
 
-    def read_health(self, status: int, headers: list[tuple[str, str]]) -> HealthWord:
+    def decode_health_answer(self, status: int, headers: list[tuple[str, str]]) -> HealthAnswer:
         """Read what the head of the answer to that question says."""
--- a/packages/loomyard-router/src/loomyard_router/routed/listener.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/listener.py
@@ -79,25 +79,25 @@
         self,
         *arguments: Any,
         limits: Callable[[], CallerLimits],
-        early: EarlyRefusal,
-        most_connections: int,
+        early_refusal: EarlyRefusal,
+        max_connections: int,
         **options: Any,
     ) -> None:
         super().__init__(*arguments, **options)
         self.limits = limits
-        self.early = early
+        self.early = early_refusal
         # In the order in which they began to rest.
         self.idle: dict[gevent.Greenlet, None] = {}
         self._open = 0
-        self._most_connections = most_connections
+        self._most_connections = max_connections
 
     @property
-    def crowded(self) -> bool:
+    def over_connection_limit(self) -> bool:
         return self._open > self._most_connections
 
     def handle(self, sock: Any, address: Any) -> None:
         self._open += 1
-        if self.crowded:
+        if self.over_connection_limit:
             self._close_oldest()
         try:
             super().handle(sock, address)
--- a/packages/loomyard-router/src/loomyard_router/routed/loop_lag.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/loop_lag.py
@@ -22,9 +22,9 @@
     the 113 turns a second of a router on a fleet of 85 that served 8 requests a second each.
     """
 
-    def __init__(self, clock: Clock, *, most: float) -> None:
+    def __init__(self, clock: Clock, *, max_lag: float) -> None:
         self._clock = clock
-        self._most = most
+        self._most = max_lag
         self._asked_at: float | None = None
         self._seen = 0.0
         self._seen_at = 0.0
--- a/packages/loomyard-router/src/loomyard_router/routed/request_head.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/request_head.py
@@ -24,9 +24,9 @@
     attempt_id: str
     deadline: float
     key: str = field(default="", repr=False)
-    passed: list[tuple[str, str]] = field(factory=list, repr=False)
+    forwarded_headers: list[tuple[str, str]] = field(factory=list, repr=False)
     prompt: tuple[PromptPart, ...] = ()
     prompt_tokens: int = 0
-    most_output_tokens: int = 0
+    max_output_tokens: int = 0
     output_hint: int | None = None
     last_event: str = ""
--- a/packages/loomyard-router/src/loomyard_router/routed/request_trace.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/request_trace.py
@@ -27,7 +27,7 @@
     choice: int = -1
     share_used: float | None = None
     broken: str = ""
-    objection: str = ""
+    refusal_reason: str = ""
     expected: float = 0.0
     placed_at: float | None = None
     first_at: float | None = None
--- a/packages/loomyard-router/src/loomyard_router/routed/routed_request.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/routed_request.py
@@ -6,7 +6,7 @@
 
 from attrs import define, field
 
-from loomyard_router.requests.presence import CallerPresence
+from loomyard_router.requests.caller_presence import CallerPresence
 from loomyard_router.routed.fingerprint import make_fingerprint
 from loomyard_router.routed.request_head import RequestHead
 from loomyard_router.routed.request_trace import RequestTrace
@@ -39,9 +39,9 @@
     deadline: float
     table_version: int = -1
     trace: RequestTrace = field(factory=RequestTrace)
-    suspicion: int = 0
+    crash_count: int = 0
     send_rank: int = 1
-    began_at: float | None = None
+    first_event_at: float | None = None
     release_body: Callable[[], None] = lambda: None
     _fingerprint: str = ""
 
@@ -70,16 +70,16 @@
     @property
     def output_tokens(self) -> int:
         """Return how many tokens are likely made: the caller's estimate within its bound."""
-        most, hint = self.head.most_output_tokens, self.head.output_hint
+        most, hint = self.head.max_output_tokens, self.head.output_hint
         return most if hint is None else min(most or hint, hint)
 
     @property
-    def shared_tokens(self) -> int:
+    def shared_prompt_tokens(self) -> int:
         """Return the tokens of the prompt that other requests may share."""
         return sum(part.tokens for part in self.head.prompt[:-1])
 
     @property
-    def affinity(self) -> str:
+    def affinity_key(self) -> str:
         """Return the id of the longest prompt that other requests share, empty without one."""
         prompt = self.head.prompt
         if not prompt:
--- a/packages/loomyard-router/src/loomyard_router/routed/stream_passing.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/stream_passing.py
@@ -13,10 +13,10 @@
 if TYPE_CHECKING:
     from collections.abc import Generator
 
-    from loomyard_router.routed.event_pace import EventPace
+    from loomyard_router.routed.attempt_sender import Exchange
+    from loomyard_router.routed.event_coalescer import EventCoalescer
     from loomyard_router.routed.forwarder import Forwarder
     from loomyard_router.routed.routed_request import RoutedRequest
-    from loomyard_router.routed.sender import Exchange
 
 logger = logging.getLogger(__name__)
 
@@ -27,7 +27,7 @@
     """One answer on its way to its caller; the head of the first target stays that of all."""
 
     def __init__(
-        self, forwarder: Forwarder, request: RoutedRequest, exchange: Exchange, pace: EventPace
+        self, forwarder: Forwarder, request: RoutedRequest, exchange: Exchange, pace: EventCoalescer
     ) -> None:
         self._forwarder = forwarder
         self._pace = pace
--- a/packages/loomyard-router/src/loomyard_router/routed/answer_figures.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/unread_answer_metrics.py
@@ -8,8 +8,8 @@
 
 
 @frozen(kw_only=True)
-class AnswerFigures:
+class UnreadAnswerMetrics:
     """Counts since the start: answers kept here for slow callers, and those broken off."""
 
-    taken_off: Callable[[], int] = lambda: 0
-    given_up: Callable[[], int] = lambda: 0
+    buffered: Callable[[], int] = lambda: 0
+    aborted: Callable[[], int] = lambda: 0
--- a/packages/loomyard-router/src/loomyard_router/routed/unread_answers.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/unread_answers.py
@@ -36,8 +36,8 @@
     def __init__(self, clock: Clock, budget: BodyBudget) -> None:
         self.clock = clock
         self.budget = budget
-        self.taken_off = 0
-        self.given_up = 0
+        self.buffered = 0
+        self.aborted = 0
         self._waiting: dict[PassedAnswer, float] = {}
         self._task: gevent.Greenlet | None = None
 
@@ -57,7 +57,7 @@
         for answer, since in list(self._waiting.items()):
             if since <= oldest:
                 self.leave(answer)
-                self.taken_off += 1
+                self.buffered += 1
                 answer.take_off()
 
     def _run(self) -> None:
@@ -154,7 +154,7 @@
         return True
 
     def _give_up(self, size: int) -> str:
-        self._unread.given_up += 1
+        self._unread.aborted += 1
         detail = f"the caller does not read, and {size} bytes of the answer find no room here"
         emit(logger, Event.ANSWER_GIVEN_UP, request=self._request_id, detail=detail)
         return detail
--- a/packages/loomyard-router/src/loomyard_router/routed_application.py
+++ b/packages/loomyard-router/src/loomyard_router/routed_application.py
@@ -43,17 +43,17 @@
 from loomyard_router.metrics.meters import Meters
 from loomyard_router.ready_listener import ReadyListener
 from loomyard_router.requests.retry_budget import RetryBudget
-from loomyard_router.routed.answer_figures import AnswerFigures
 from loomyard_router.routed.app import RoutedApp
+from loomyard_router.routed.attempt_sender import AttemptSender
 from loomyard_router.routed.body_budget import BodyBudget
 from loomyard_router.routed.connection_pool import ConnectionPool
-from loomyard_router.routed.dialects import CallerDialect, TargetDialect
 from loomyard_router.routed.early_refusal import EarlyRefusal
-from loomyard_router.routed.event_pace import EventPace
+from loomyard_router.routed.event_coalescer import EventCoalescer
 from loomyard_router.routed.forwarder import Forwarder
+from loomyard_router.routed.http_codecs import CallerCodec, TargetCodec
 from loomyard_router.routed.listener import RoutedListener
 from loomyard_router.routed.loop_lag import LoopLag
-from loomyard_router.routed.sender import Sender
+from loomyard_router.routed.unread_answer_metrics import UnreadAnswerMetrics
 from loomyard_router.routed.unread_answers import UnreadAnswers
 from loomyard_router.routes.caller_limits import CallerLimits
 from loomyard_router.routes.route_table import RouteTable
@@ -86,8 +86,8 @@
     find_emptied_data_centre: Callable[[str], str | None]
     targets: Feed
     decode_target: Callable[[str, bytes], Result[AnnouncedTarget, UnreadableEntry]]
-    callers: CallerDialect
-    target_dialect: TargetDialect
+    caller_codec: CallerCodec
+    target_codec: TargetCodec
     ready_path: str
     crashes: CrashArchive | None = None
     era: StoreEra = field(factory=StoreEra)
@@ -118,18 +118,18 @@
             ),
             clock,
             source,
-            pace=settings.feed_pace,
+            min_read_interval=settings.feed_pace,
             era=platform.era,
-            losses=OrderRollbackPolicy(platform.find_emptied_data_centre),
+            rollback_policy=OrderRollbackPolicy(platform.find_emptied_data_centre),
         )
         self._targets = FeedFollower(
             platform.targets,
             TargetFeed(self.registry, platform.decode_target, self._unreadable),
             clock,
             source,
-            pace=settings.feed_pace,
+            min_read_interval=settings.feed_pace,
             era=platform.era,
-            losses=TargetRollbackPolicy(platform.decode_target),
+            rollback_policy=TargetRollbackPolicy(platform.decode_target),
         )
         self._pool = ConnectionPool(clock)
         self.fleet = make_fleet_parts(_fleet_settings(settings), clock)
@@ -141,7 +141,7 @@
             followers=(self._tables, self._targets),
             source=source,
         )
-        self._lag = LoopLag(clock, most=settings.most_lag)
+        self._lag = LoopLag(clock, max_lag=settings.most_lag)
         self._admission = make_admission(
             clock=clock,
             registry=self.registry,
@@ -149,7 +149,7 @@
             members=self.members,
             peers=peers,
             window=settings.share_window,
-            source=source,
+            rng=source,
             lag=lambda: self._lag.seconds,
         )
         self._leavings = LeavingExchange(clock, self.registry, self.members)
@@ -169,7 +169,7 @@
             clock=clock,
             registry=self.registry,
             pool=self._pool,
-            dialect=platform.target_dialect,
+            codec=platform.target_codec,
             holder=self.holder,
         )
         self._check = CoalescedProbe(probe.has_ended)
@@ -179,26 +179,28 @@
         forwarder = Forwarder(
             clock=clock,
             gate=self._admission.gate,
-            sender=Sender(clock, self.registry, self._pool, platform.target_dialect),
+            sender=AttemptSender(clock, self.registry, self._pool, platform.target_codec),
             health=self._admission.health,
             registry=self.registry,
             guard=self._guard,
-            budget=RetryBudget(
+            retry_budget=RetryBudget(
                 per_request=settings.retries.ratio,
-                most=self._retry_slack,
+                max_tokens=self._retry_slack,
+            ),
+            coalescer=EventCoalescer(
+                clock=clock, max_delay=settings.event_seconds, lag=lambda: self._lag.seconds
             ),
-            pace=EventPace(clock=clock, most=settings.event_seconds, lag=lambda: self._lag.seconds),
-            unread=self.unread,
+            unread_answers=self.unread,
         )
         meters = Meters(clock)
         self.app = RoutedApp(
             clock=clock,
             meters=meters,
             holder=self.holder,
-            dialect=platform.callers,
+            codec=platform.caller_codec,
             forwarder=forwarder,
-            ending=lambda: self.stopping or self._listener.crowded,
-            closing=lambda: self.closing,
+            closing_connections=lambda: self.stopping or self._listener.over_connection_limit,
+            refusing_requests=lambda: self.closing,
             overloaded=lambda: self._lag.overloaded,
             bodies=self.bodies,
         )
@@ -210,15 +212,15 @@
             error_log=logger,
             in_flight=self._in_flight,
             limits=self._limits,
-            early=EarlyRefusal(
+            early_refusal=EarlyRefusal(
                 holder=self.holder,
-                dialect=platform.callers,
-                waiting=self._admission.backlog,
+                codec=platform.caller_codec,
+                backlog=self._admission.backlog,
                 overloaded=lambda: self._lag.overloaded,
-                hint=self._admission.retry_hint,
+                retry_hint=self._admission.retry_hint,
                 meters=meters,
             ),
-            most_connections=settings.most_connections,
+            max_connections=settings.most_connections,
         )
         self._ready = ReadyListener(settings.ready_listen, platform.ready_path, lambda: self.ready)
         self._metrics = make_lazy_metrics(
@@ -240,10 +242,10 @@
                 unreadable=lambda: self._unreadable.counts,
             ),
             places=self._admission.slot_metrics,
-            bodies=self.bodies.figures,
-            unread=AnswerFigures(
-                taken_off=lambda: self.unread.taken_off,
-                given_up=lambda: self.unread.given_up,
+            bodies=self.bodies.metrics,
+            unread=UnreadAnswerMetrics(
+                buffered=lambda: self.unread.buffered,
+                aborted=lambda: self.unread.aborted,
             ),
         )
         self.registry.subscribe(self._forget)
@@ -350,7 +352,7 @@
 
     def _forget(self) -> None:
         known = {target.incarnation for target in self.registry.listed()}
-        self._pool.forget(known)
+        self._pool.retain(known)
         self._check.retain(known)
         self._guard.update_known(known)
         self._admission.retain(known)
--- a/tests/test_loomyard_router/claims_interleaving.py
+++ b/tests/test_loomyard_router/claims_interleaving.py
@@ -90,7 +90,7 @@
         can = [("arrive_request", name) for name in fleet.keepers]
         can += [("go_on", c) for c in self.callers if c.gate is not None]
         can += [("give_up", c) for c in self.callers if c.gate is not None and c.step == "begun"]
-        can += [("fate", n, fate) for n in range(len(fleet.log.backlog)) for fate in FATES]
+        can += [("fate", n, fate) for n in range(len(fleet.log.waiting)) for fate in FATES]
         can += [("late", n) for n in range(len(fleet.log.late))]
         can += [("advance", s) for s in (TIMED_STEPS if self.timed else PLAIN_STEPS)]
         can += [("kill", name) for name in fleet.keepers]
@@ -131,7 +131,7 @@
         gate.set(False)
 
     def _fate(self, number: int, fate: str) -> None:
-        self.fleet.log.backlog.pop(number).set(fate)
+        self.fleet.log.waiting.pop(number).set(fate)
 
     def _late(self, number: int) -> None:
         self.fleet.log.arrive(number)
--- a/tests/test_loomyard_router/test_admission/slots_case.py
+++ b/tests/test_loomyard_router/test_admission/slots_case.py
@@ -19,7 +19,7 @@
 from loomyard_router.announced.cold_targets import ColdTargets
 from loomyard_router.announced.target_registry import TargetRegistry
 from loomyard_router.members.membership import Member, SoleMembership
-from loomyard_router.requests.presence import CallerPresence
+from loomyard_router.requests.caller_presence import CallerPresence
 from loomyard_router.routed.request_head import RequestHead
 from loomyard_router.routed.routed_request import RoutedRequest
 from loomyard_router.routes.account_terms import AccountTerms
--- a/tests/test_loomyard_router/test_admission/test_apart.py
+++ b/tests/test_loomyard_router/test_admission/test_apart.py
@@ -29,7 +29,7 @@
     def take(self, number: int, suspicion: int, **head: object) -> Result[SlotPermit, Fault]:
         request = self.fleet.request(number=number, objective=OBJECTIVE, **head)
         request.body = f"body {number}".encode()
-        request.suspicion = suspicion
+        request.crash_count = suspicion
         return self.fleet.routers[number % 3].gate.acquire(request, frozenset())
 
     def test_two_of_them_never_begin_at_one_target(self) -> None:
@@ -61,7 +61,7 @@
         fleet.network.cut({keeper}, {router.members.own.name})
         for suspicion, placed in ((APART_LEVEL, False), (0, True)):
             request = fleet.request(number=suspicion, objective=OBJECTIVE)
-            request.suspicion = suspicion
+            request.crash_count = suspicion
             self.assertEqual(placed, router.gate.acquire(request, frozenset()).is_ok())
 
     def test_those_that_ran_together_go_different_ways_though_they_share_a_prompt(self) -> None:
@@ -70,7 +70,7 @@
         for number in range(30):
             request = fleet.request(number=number)
             request.body = f"body {number}".encode()
-            request.suspicion = 1
+            request.crash_count = 1
             targets.add(fleet.routers[0].gate.acquire(request, frozenset()).unwrap().target.id)
         self.assertEqual(6, len(targets))
 
--- a/tests/test_loomyard_router/test_admission/test_places.py
+++ b/tests/test_loomyard_router/test_admission/test_places.py
@@ -58,8 +58,10 @@
             "its entry says so": lambda registry: registry.apply(
                 [evolve(target, draining=True)], []
             ),
-            "it said so": lambda registry: registry.hear(target, TargetNotice(leaving=True)),
-            "its data centre is emptied": lambda registry: registry.note_emptied(frozenset([""])),
+            "it said so": lambda registry: registry.apply_notice(
+                target, TargetNotice(leaving=True)
+            ),
+            "its data centre is emptied": lambda registry: registry.set_evacuated(frozenset([""])),
         }
         for change, make in changes.items():
             with self.subTest(change=change):
@@ -166,7 +168,7 @@
         request = self.fleet.request(number=9)
         waiting = gevent.spawn(self.fleet.routers[1].gate.acquire, request, frozenset())
         gevent.sleep(0.01)
-        request.presence.leave()
+        request.presence.mark_gone()
         places[0].release()
         self.assertTrue(waiting.get().is_err())
         gevent.sleep(0.01)
--- a/tests/test_loomyard_router/test_crashing/test_life_probe.py
+++ b/tests/test_loomyard_router/test_crashing/test_life_probe.py
@@ -59,7 +59,7 @@
             clock=clock,
             registry=self.registry,
             pool=ConnectionPool(clock),
-            dialect=PlatformTargets(),
+            codec=PlatformTargets(),
             holder=holder,
         )
 
--- a/tests/test_loomyard_router/test_feeds/feed_fleet.py
+++ b/tests/test_loomyard_router/test_feeds/feed_fleet.py
@@ -176,8 +176,8 @@
                 takers[feed],
                 self.clock,
                 source,
-                pace=PACE,
-                losses=self.make_losses(feed),
+                min_read_interval=PACE,
+                rollback_policy=self.make_losses(feed),
             )
             for feed in feeds
         }
--- a/tests/test_loomyard_router/test_feeds/test_feed_follower.py
+++ b/tests/test_loomyard_router/test_feeds/test_feed_follower.py
@@ -28,7 +28,7 @@
         self.feed = ScriptedFeed()
         self.taken = Taken()
         self.follower = FeedFollower(
-            self.feed, self.taken, FakeClock(), random.Random(1), pace=PACE
+            self.feed, self.taken, FakeClock(), random.Random(1), min_read_interval=PACE
         )
 
     def list_to(self, offset: int) -> None:
--- a/tests/test_loomyard_router/test_place_metrics.py
+++ b/tests/test_loomyard_router/test_place_metrics.py
@@ -11,7 +11,7 @@
 from loomyard_router.metrics.exposition import MetersCollector, expose
 from loomyard_router.metrics.meters import Meters
 from loomyard_router.peers.traffic import TrafficCounters
-from loomyard_router.routed.body_figures import BodyFigures
+from loomyard_router.routed.body_metrics import BodyMetrics
 
 
 class PlaceMetricsTest(unittest.TestCase):
@@ -25,7 +25,7 @@
                 refusals=lambda: {"reading": 7},
                 unresponsive_owners=lambda: 2,
             ),
-            bodies=BodyFigures(lent=lambda: 11, peak=lambda: 12, refused=lambda: 13),
+            bodies=BodyMetrics(held_bytes=lambda: 11, peak_bytes=lambda: 12, refused=lambda: 13),
         )
         lines = expose(collector).decode().splitlines()
         for line in (
--- a/tests/test_loomyard_router/test_platform/test_callers.py
+++ b/tests/test_loomyard_router/test_platform/test_callers.py
@@ -17,7 +17,7 @@
 
 def passed(*headers: tuple[str, str]) -> list[tuple[str, str]]:
     """Return what is passed of headers that stand between the caller's own."""
-    return PlatformCallers().read_head([*OWN, *headers], 0.0).unwrap().passed
+    return PlatformCallers().decode_request_head([*OWN, *headers], 0.0).unwrap().forwarded_headers
 
 
 class PassedHeadersTest(unittest.TestCase):
--- a/tests/test_loomyard_router/test_platform/test_targets.py
+++ b/tests/test_loomyard_router/test_platform/test_targets.py
@@ -14,8 +14,8 @@
     def read(self, status: int, **headers: str) -> TargetNotice:
         """Return what an answer says; a question for health has to be heard alike."""
         fields = [(name.replace("_", "-"), value) for name, value in headers.items()]
-        word = PlatformTargets().read_word(status, fields)
-        self.assertEqual(word.notice, PlatformTargets().read_health(status, fields).notice)
+        word = PlatformTargets().decode_answer_head(status, fields)
+        self.assertEqual(word.notice, PlatformTargets().decode_health_answer(status, fields).notice)
         return word.notice
 
     def test_a_target_says_that_it_leaves_in_answers_of_any_status(self) -> None:
--- a/tests/test_loomyard_router/test_requests/serving_case.py
+++ b/tests/test_loomyard_router/test_requests/serving_case.py
@@ -18,11 +18,11 @@
 from loomyard_router.peers.no_peers import NoPeers
 from loomyard_router.requests.estimates import CostEstimates
 from loomyard_router.requests.journal import Journal
+from loomyard_router.requests.pending_resumes import PendingResumes
 from loomyard_router.requests.request import Request
-from loomyard_router.requests.resume_holds import ResumeHolds
-from loomyard_router.requests.resuming import Resuming
+from loomyard_router.requests.request_pipeline import RequestPipeline
 from loomyard_router.requests.retries import Retries
-from loomyard_router.requests.serving import Serving
+from loomyard_router.requests.stream_resumer import StreamResumer
 from loomyard_router.requests.stream_token import StreamTokens
 from loomyard_router.shares.local import make_local_policy
 from loomyard_router.targets.directory import make_configured_targets
@@ -85,7 +85,7 @@
         request = self.make_request(**options)
         return self.make_serving().serve(request)
 
-    def make_serving(self) -> Serving:
+    def make_serving(self) -> RequestPipeline:
         follower = ConfigFollower(MemoryLog(), self.clock)
         follower._log.append(CONFIG_STREAM, encode(self.change()))
         follower.subscribe(self.targets.reconfigure)
@@ -93,15 +93,15 @@
         self.account = follower.routing.accounts["kiosk"]
         self.services = follower.routing.services
         engine = make_http_engine(self.clock)
-        resuming = Resuming(
+        resuming = StreamResumer(
             clock=self.clock,
             follower=follower,
             engine=engine,
             tokens=StreamTokens(("secret",)),
-            holds=ResumeHolds(self.clock, NoPeers(), "router-0", seconds=5.0),
+            pending=PendingResumes(self.clock, NoPeers(), "router-0", seconds=5.0),
         )
-        return Serving(
-            resuming=resuming,
+        return RequestPipeline(
+            stream_resumer=resuming,
             meters=Meters(self.clock),
             clock=self.clock,
             follower=follower,
--- a/tests/test_loomyard_router/test_requests/test_resuming.py
+++ b/tests/test_loomyard_router/test_requests/test_resuming.py
@@ -83,7 +83,7 @@
         self.assertEqual((details["executed"], details["retry_safe"]), ("unknown", False))
 
     def test_work_is_cancelled_only_for_callers_that_stay_away(self) -> None:
-        holds = self.fleet.routers[0].callers._resuming.holds
+        holds = self.fleet.routers[0].callers._stream_resumer.holds
         holds._seconds = 0.0
         self.addCleanup(setattr, holds, "_seconds", 5.0)
         response = self.begin()
--- a/tests/test_loomyard_router/test_requests/test_serving.py
+++ b/tests/test_loomyard_router/test_requests/test_serving.py
@@ -108,7 +108,7 @@
         leaver, stopped = self.make_request(), self.make_request()
         queued = [gevent.spawn(serving.serve, request) for request in (leaver, stopped)]
         gevent.sleep(0.01)
-        leaver.presence.leave()
+        leaver.presence.mark_gone()
         self.assertEqual(queued[0].get().unwrap_err().code, ResultCode.CALLER_GONE)
         serving.stop()
         fault = queued[1].get().unwrap_err()
--- a/tests/test_loomyard_router/test_requests/test_serving_streams.py
+++ b/tests/test_loomyard_router/test_requests/test_serving_streams.py
@@ -64,9 +64,9 @@
 
     def test_the_usage_event_reaches_only_callers_who_ask(self) -> None:
         data = events(0, 2) + USAGE + done(3)
-        self.assertEqual(self.stream(stream(data), usage_asked=True), data)
+        self.assertEqual(self.stream(stream(data), usage_requested=True), data)
         kept = events(0, 2) + done(3)
-        self.assertEqual(self.stream(stream(data), usage_asked=False), kept)
+        self.assertEqual(self.stream(stream(data), usage_requested=False), kept)
 
 
 def events(first: int, end: int) -> bytes:
--- a/tests/test_loomyard_router/test_routed/routed_case.py
+++ b/tests/test_loomyard_router/test_routed/routed_case.py
@@ -123,8 +123,8 @@
             find_emptied_data_centre=find_emptied_data_centre,
             targets=self.targets,
             decode_target=lambda _, data: Ok(self.objects[int(data)]),
-            callers=PlatformCallers(),
-            target_dialect=PlatformTargets(),
+            caller_codec=PlatformCallers(),
+            target_codec=PlatformTargets(),
             ready_path="/readyz",
         )
 
--- a/tests/test_loomyard_router/test_routed/test_deadline_watch.py
+++ b/tests/test_loomyard_router/test_routed/test_deadline_watch.py
@@ -8,7 +8,7 @@
 from attrs import define, field
 
 from loomyard_router.routed.deadline_watch import LOOK_SECONDS, DeadlineWatch
-from loomyard_router.routed.event_pace import BEHIND_SECONDS, HELD_PART, EventPace
+from loomyard_router.routed.event_coalescer import BEHIND_SECONDS, HELD_PART, EventCoalescer
 from loomyard_standins.stepped_clock import SteppedClock
 
 
@@ -63,7 +63,7 @@
     def held(self, lag: float, most: float) -> float:
         """Return for how long a stream is left alone after an event."""
         clock = SteppedClock()
-        pace = EventPace(clock=clock, most=most, lag=lambda: lag)
+        pace = EventCoalescer(clock=clock, max_delay=most, lag=lambda: lag)
         ended: list[float] = []
 
         def run() -> None:
--- a/tests/test_loomyard_router/test_routed/test_early_refusal.py
+++ b/tests/test_loomyard_router/test_routed/test_early_refusal.py
@@ -31,10 +31,10 @@
         self.over: set[str] = set()
         self.ahead: set[str] = set()
 
-    def far_beyond(self, account: str) -> bool:
+    def is_far_over_share(self, account: str) -> bool:
         return account in self.over
 
-    def outran(self, account: str) -> bool:
+    def exceeds_usage_cap(self, account: str) -> bool:
         return account in self.ahead
 
 
--- a/tests/test_loomyard_router/test_routed/test_loop_lag.py
+++ b/tests/test_loomyard_router/test_routed/test_loop_lag.py
@@ -6,7 +6,7 @@
 
 import gevent
 
-from loomyard_router.requests.presence import CallerPresence
+from loomyard_router.requests.caller_presence import CallerPresence
 from loomyard_router.routed.loop_lag import KEPT_SECONDS, LoopLag
 from loomyard_standins.fake_clock import FakeClock
 from test_loomyard_router.test_routed.routed_case import RoutedCase, route
@@ -18,7 +18,7 @@
 class TestLoopLag(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = FakeClock()
-        self.lag = LoopLag(self.clock, most=MOST_LAG)
+        self.lag = LoopLag(self.clock, max_lag=MOST_LAG)
 
     def ask_before(self, tasks: int) -> None:
         """Ask while some tasks of 0.01 s each are ready, and let them have their turn."""
@@ -65,10 +65,10 @@
         told: list[bool] = []
         presence.subscribe(lambda: told.append(True))
         there = [True]
-        presence.look_with(lambda: there[0])
-        self.assertTrue(presence.look())
+        presence.set_probe(lambda: there[0])
+        self.assertTrue(presence.check())
         there[0] = False
-        self.assertFalse(presence.look())
+        self.assertFalse(presence.check())
         self.assertEqual([True], told)
 
 
--- a/tests/test_loomyard_router/test_routed/test_requests.py
+++ b/tests/test_loomyard_router/test_routed/test_requests.py
@@ -114,7 +114,7 @@
         gate, left = forwarder._gate, []
 
         class LateGate:
-            def take(
+            def acquire(
                 self, request: RoutedRequest, avoided: frozenset[str]
             ) -> Result[SlotPermit, Fault]:
                 place = gate.acquire(request, avoided)
--- a/tests/test_loomyard_router/test_routed/test_targets_that_refuse.py
+++ b/tests/test_loomyard_router/test_routed/test_targets_that_refuse.py
@@ -44,7 +44,7 @@
 class RefusingTargetTest(RoutedCase):
     def setUp(self) -> None:
         super().setUp()
-        for name in ("FIRST_REST", "LONGEST_REST"):
+        for name in ("FIRST_EJECTION_SECONDS", "MAX_EJECTION_SECONDS"):
             patch = mock.patch.object(ejection_tracker, name, REST_SECONDS)
             patch.start()
             self.addCleanup(patch.stop)
--- a/tests/test_loomyard_router/test_routed/test_unread_answers.py
+++ b/tests/test_loomyard_router/test_routed/test_unread_answers.py
@@ -77,7 +77,7 @@
         self.assertEqual(1, self.read)
         self.assertEqual(EVENTS[1:], list(answer))
         self.pass_time(2 * UNREAD_SECONDS)
-        self.assertEqual((0, 0), (self.unread.taken_off, self.budget.peak))
+        self.assertEqual((0, 0), (self.unread.buffered, self.budget.peak))
 
     def test_answers_that_are_not_read_leave_their_targets(self) -> None:
         answers = [self.answer() for _ in range(STREAMS)]
@@ -85,7 +85,7 @@
             next(answer)
         self.pass_time(UNREAD_SECONDS + LOOK_SECONDS)
         self.assertEqual([""] * STREAMS, self.ended)
-        self.assertEqual(STREAMS, self.unread.taken_off)
+        self.assertEqual(STREAMS, self.unread.buffered)
 
     def test_a_caller_that_reads_again_has_the_whole_answer(self) -> None:
         answer = self.answer()
@@ -110,7 +110,7 @@
         self.pass_time(UNREAD_SECONDS + LOOK_SECONDS)
         self.assertEqual([], self.ended)
         self.pass_time(GIVE_UP_SECONDS + LOOK_SECONDS)
-        self.assertEqual(1, self.unread.given_up)
+        self.assertEqual(1, self.unread.aborted)
         self.assertIn("find no room", self.ended[0])
         with self.assertRaises(AnswerBrokenError):
             list(answer)
@@ -147,7 +147,7 @@
         sock.connect(("127.0.0.1", self.router.port))
         sock.sendall(request_bytes("/p/x"))
         self.until(lambda: self.sent_all)
-        self.assertEqual(1, self.router.unread.taken_off)
+        self.assertEqual(1, self.router.unread.buffered)
         response = http.client.HTTPResponse(sock, method="POST")
         response.begin()
         self.assertEqual(LARGE_EVENTS, response.read().count(b"id: "))
