--- a/packages/loomyard-router/src/loomyard_router/shares/__init__.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/__init__.py
@@ -1,1 +1,1 @@
-"""Who may send next: the share policies."""
+"""Share policies: admission of queued requests to target slots, fair between client accounts."""
--- a/packages/loomyard-router/src/loomyard_router/shares/account_levels.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/account_levels.py
@@ -1,4 +1,8 @@
-"""Levels of client accounts as one router knows them."""
+"""Levels of client accounts as one router knows them.
+
+The level of an account is its normalized service: the cost of the work done for it, divided by
+its weight, over the whole fleet.
+"""
 
 from __future__ import annotations
 
@@ -13,12 +17,12 @@
 
 
 class AccountLevels:
-    """Service of this router since its start plus the offset that the allocator told."""
+    """Normalized service given here since this router started, plus the allocator's offset."""
 
     def __init__(self) -> None:
-        self._service: dict[bytes, float] = {}
+        self._served: dict[bytes, float] = {}
         self._offsets: dict[bytes, float] = {}
-        self._told: set[bytes] = set()
+        self._confirmed: set[bytes] = set()
         self._active: Counter[bytes] = Counter()
 
     @property
@@ -27,36 +31,36 @@
         return self._active
 
     def level(self, account: bytes) -> float:
-        """Return the service over weight of an account in the fleet."""
-        return self._offsets.get(account, 0.0) + self._service.get(account, 0.0)
+        """Return the normalized service that an account received in the fleet."""
+        return self._offsets.get(account, 0.0) + self._served.get(account, 0.0)
 
-    def service(self, account: bytes) -> int:
-        """Return the service over weight that this router gave since its start."""
-        return round(self._service.get(account, 0.0))
+    def served(self, account: bytes) -> int:
+        """Return the normalized service that this router gave an account since it started."""
+        return round(self._served.get(account, 0.0))
 
     def known_level(self, account: bytes) -> int:
-        """Return the level to report, ``UNKNOWN_LEVEL`` where none was told."""
-        return round(self.level(account)) if account in self._told else UNKNOWN_LEVEL
+        """Return the level to report, ``UNKNOWN_LEVEL`` without an offset from the allocator."""
+        return round(self.level(account)) if account in self._confirmed else UNKNOWN_LEVEL
 
     def add(self, account: ClientAccount, cost: float) -> None:
-        """Add service, which is negative where an estimate was too high."""
+        """Add service in units of cost; negative to correct an estimate that was too high."""
         key = short_id(account.metadata.name)
-        self._service[key] = self._service.get(key, 0.0) + cost / account.weight
+        self._served[key] = self._served.get(key, 0.0) + cost / account.weight
 
-    def begin(self, account: bytes, floor: float) -> None:
-        """Count one more request that waits or runs; presume the floor for an unknown account."""
-        if account not in self._told and not self._active[account]:
-            missing = floor - self.level(account)
+    def begin(self, account: bytes, min_level: float) -> None:
+        """Count a new request; an idle account without an offset starts at the minimum level."""
+        if account not in self._confirmed and not self._active[account]:
+            missing = min_level - self.level(account)
             self._offsets[account] = self._offsets.get(account, 0.0) + max(0.0, missing)
         self._active[account] += 1
 
     def end(self, account: bytes) -> None:
-        """Count one request less."""
+        """Count the end of a request."""
         self._active[account] -= 1
         if not self._active[account]:
             del self._active[account]
 
-    def tell(self, offsets: dict[bytes, int]) -> None:
-        """Take over what the allocator told."""
+    def set_offsets(self, offsets: dict[bytes, int]) -> None:
+        """Store offsets received from the allocator."""
         self._offsets.update(offsets)
-        self._told.update(offsets)
+        self._confirmed.update(offsets)
--- a/packages/loomyard-router/src/loomyard_router/shares/account_queues.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/account_queues.py
@@ -1,4 +1,4 @@
-"""The queues of one service, one for each client account."""
+"""Request queues of one service, one for each client account."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AccountQueues:
-    """First in, first out within an account; accounts in no order of their own."""
+    """First in, first out within an account; there is no order between accounts."""
 
     def __init__(self) -> None:
         self._queues: OrderedDict[str, deque[WaitingRequest]] = OrderedDict()
@@ -23,24 +23,27 @@
 
     @property
     def accounts(self) -> Iterator[str]:
-        """Return the names of the accounts that wait."""
+        """Return the names of the accounts with waiting requests."""
         return iter(self._queues)
 
     def length(self, account: str) -> int:
-        """Return how many requests of an account wait."""
+        """Return the number of waiting requests of an account."""
         return len(self._queues.get(account, ()))
 
     def head(self, account: str) -> WaitingRequest:
-        """Return the oldest request of an account that waits."""
+        """Return the oldest request of an account without removing it.
+
+        Error: ``KeyError`` if the account has none waiting.
+        """
         return self._queues[account][0]
 
     def push(self, waiting: WaitingRequest) -> None:
-        """Add a request."""
+        """Append a request to the queue of its account."""
         self._queues.setdefault(waiting.account.metadata.name, deque()).append(waiting)
         self._size += 1
 
     def pop(self, account: str) -> WaitingRequest:
-        """Take the oldest request of an account."""
+        """Remove and return the oldest request of an account."""
         waiting = self._queues[account].popleft()
         self._size -= 1
         if not self._queues[account]:
@@ -48,7 +51,7 @@
         return waiting
 
     def remove(self, waiting: WaitingRequest) -> bool:
-        """Take a request out; false where it is not there."""
+        """Remove a request; return false if it is not queued."""
         account = waiting.account.metadata.name
         try:
             self._queues[account].remove(waiting)
--- a/packages/loomyard-router/src/loomyard_router/shares/account_intake.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/account_report_processor.py
@@ -1,4 +1,4 @@
-"""Take the accounts of reports into the levels of the fleet."""
+"""Apply the account entries of router reports to the fleet-wide levels."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
     from loomyard_router.shares.reporting_router import ReportingRouter
 
 
-class AccountIntake:
-    """Note in the levels which accounts wait and run where, and what they received."""
+class AccountReportProcessor:
+    """Update the levels with which accounts wait or run at each router, and their service."""
 
     def __init__(self, levels: FleetLevels) -> None:
         self._levels = levels
 
-    def take(
+    def apply(
         self,
         router: ReportingRouter,
         report: ShareReport,
@@ -27,31 +27,38 @@
         first: bool,
         credit: float,
     ) -> None:
-        """Take in the accounts of a report, the ``first`` of its session or a later one."""
-        shift = self._levels.align(report.floor, credit) if first else None
+        """Apply the account entries of a report.
+
+        ``first`` marks the first report of a session; ``credit`` is how far below the minimum
+        level an account whose requests only ran may start to wait again.
+        """
+        shift = self._levels.shift_from(report.min_level, credit) if first else None
         for account, update in report.accounts.items():
             known = update.known_level
             rebuilds = first and known != UNKNOWN_LEVEL
             before = router.accounts.get(account)
             if rebuilds and shift is not None:
-                self._levels.join(router.source, account, update.service, known + shift, now)
-                self._begin(account, before, update, now, credit, lift=False)
+                self._levels.merge_account(
+                    router.source, account, update.served, known + shift, now
+                )
+                self._count_begun(account, before, update, now, credit, lift=False)
             else:
-                # A lift comes before the service that the account received since its return.
-                self._begin(account, before, update, now, credit, lift=not rebuilds)
-                self._levels.report(router.source, account, update.service, known)
-            self._end(account, before, update, now)
-            self._keep(router, account, update)
+                # Lift before adding service, so that service received since the account became
+                # active again counts on top of the lifted level.
+                self._count_begun(account, before, update, now, credit, lift=not rebuilds)
+                self._levels.report(router.source, account, update.served, known)
+            self._count_ended(account, before, update, now)
+            self._store(router, account, update)
 
-    def drop(self, router: ReportingRouter, now: float) -> None:
-        """Take in that a router is heard no more."""
-        self._levels.forget(router.source)
+    def remove_router(self, router: ReportingRouter, now: float) -> None:
+        """Remove a router that no longer reports or began a new session."""
+        self._levels.remove_source(router.source)
         for account, report in router.accounts.items():
             if report.waiting:
                 self._levels.end_waiting(account, now)
             self._levels.end_active(account, now)
 
-    def _begin(
+    def _count_begun(
         self,
         account: bytes,
         before: AccountReport | None,
@@ -66,7 +73,7 @@
         if update.waiting and not (before and before.waiting):
             self._levels.begin_waiting(account, now, credit=credit, lift=lift)
 
-    def _end(
+    def _count_ended(
         self, account: bytes, before: AccountReport | None, update: AccountReport, now: float
     ) -> None:
         if before is None:
@@ -76,9 +83,9 @@
         if not update.active:
             self._levels.end_active(account, now)
 
-    def _keep(self, router: ReportingRouter, account: bytes, update: AccountReport) -> None:
+    def _store(self, router: ReportingRouter, account: bytes, update: AccountReport) -> None:
         if update.active:
             router.accounts[account] = update
         else:
             router.accounts.pop(account, None)
-            router.offsets.drop(account)
+            router.offsets.remove(account)
--- a/packages/loomyard-router/src/loomyard_router/shares/admission.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/admission.py
@@ -1,4 +1,4 @@
-"""The permission to send one request to one target."""
+"""Admission of one request to one target."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @define(kw_only=True, eq=False)
 class Admission:
-    """A slot at a target, taken by a request; ``charged`` is the service charged so far."""
+    """A target slot occupied by a request; ``charged`` is the cost charged so far."""
 
     waiting: WaitingRequest
     target: Target
--- a/packages/loomyard-router/src/loomyard_router/shares/allocator_selection.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/allocator_selection.py
@@ -1,4 +1,4 @@
-"""The router to which each router reports."""
+"""Selection of the router that allocates slots, to which all routers report."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 if TYPE_CHECKING:
     from loomyard_router.members.membership import Membership
 
-# The fleet's accounts and targets have one allocator; more would each take a part of the accounts.
+# One allocator serves all accounts and targets; several would each serve a part of the accounts.
 ALLOCATORS = 1
 ALLOCATOR_KEY = "allocator"
-# The choice is asked for at each report and changes with the members only.
-VIEWS_KEPT = 8
+# The selection is needed at each report and changes only with the live members.
+CACHED_VIEWS = 8
 
 
 def find_allocator(members: Membership) -> str:
-    """Return the name of the allocator: the same on every router with the same view."""
+    """Return the name of the allocator, the same on every router with the same live members."""
     return _choose(tuple(member.name for member in members.live()))
 
 
-@lru_cache(maxsize=VIEWS_KEPT)
+@lru_cache(maxsize=CACHED_VIEWS)
 def _choose(names: tuple[str, ...]) -> str:
     return choose(ALLOCATOR_KEY, names)
--- a/packages/loomyard-router/src/loomyard_router/shares/capacity.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/capacity.py
@@ -1,4 +1,4 @@
-"""The slots of targets and who may use them, by short identifiers."""
+"""Slots of targets, and the targets that each account may use, by short identifiers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Capacity:
-    """Look-ups over one configuration and what the directory says of its targets."""
+    """Look-ups over one configuration and the current state of its targets."""
 
     def __init__(self, directory: TargetDirectory) -> None:
         self._directory = directory
@@ -30,14 +30,14 @@
         return len(self._targets)
 
     def reconfigure(self, routing: Routing) -> None:
-        """Take over a configuration."""
+        """Apply a configuration."""
         before, self._routing = self._routing, routing
         self._targets = {short_id(name): target for name, target in routing.targets.items()}
         self._services = {short_id(name): name for name in routing.services}
-        self._accounts = self._next_accounts(routing, before)
+        self._accounts = self._update_accounts(routing, before)
         self._allowed.clear()
 
-    def _next_accounts(
+    def _update_accounts(
         self, routing: Routing, before: Routing | None
     ) -> dict[bytes, ClientAccount]:
         changed = None if before is None else routing.changes_since(before.version)
@@ -53,7 +53,7 @@
         return self._accounts
 
     def slots(self) -> dict[bytes, int]:
-        """Return the slots of each target that may get work."""
+        """Return the slots of each target that accepts work."""
         usable = self._directory.may_send
         return {
             key: self._directory.slots(target)
@@ -62,12 +62,12 @@
         }
 
     def usable(self, target: bytes, service: str) -> bool:
-        """Tell whether a target may get new work of a service."""
+        """Return whether a target accepts new work for a service."""
         found = self._targets.get(target)
         return found is not None and self._directory.may_send(found.metadata.name, service)
 
     def services(self, target: bytes) -> list[bytes]:
-        """Return the services of a target, as loaded now where that can change."""
+        """Return the services of a target; of an engine with loadable models, those loaded now."""
         found = self._targets.get(target)
         if found is None:
             return []
@@ -75,14 +75,14 @@
         return [service for service in names if self._has_loaded(target, service)]
 
     def targets(self, account: bytes, service: bytes) -> tuple[bytes, ...]:
-        """Return the targets that an account may use for a service."""
+        """Return the targets that an account may use for a service now."""
         key = account, service
         if key not in self._allowed:
             self._allowed[key] = self._resolve(account, service)
         return tuple(t for t in self._allowed[key] if self._has_loaded(t, service))
 
     def candidate(self, target: bytes, free: int) -> Candidate:
-        """Return a target of which some slots are free, for the choice among targets."""
+        """Return a candidate for target selection with ``free`` slots."""
         found = self._targets[target]
         return Candidate(target=found, free=free, slots=self._directory.slots(found))
 
--- a/packages/loomyard-router/src/loomyard_router/shares/demands.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/demands.py
@@ -1,4 +1,4 @@
-"""What waits in the fleet, by service."""
+"""Demand for slots over the whole fleet, by service."""
 
 from __future__ import annotations
 
@@ -17,7 +17,11 @@
 
 @frozen(eq=False)
 class Demand:
-    """Requests of one account that wait for one service at one router."""
+    """Requests of one account that wait for one service at one router.
+
+    ``count`` requests wait, ``unmet`` of them without a slot granted already; ``estimate`` is the
+    cost of the oldest over weight.
+    """
 
     router: ReportingRouter
     account: bytes
@@ -26,35 +30,35 @@
     estimate: int
     count: int
     unmet: int
-    overdue: bool
+    starved: bool
 
 
 @define
-class _Lowest:
-    """The least level that waits for a service, where, and the least at other routers."""
+class _LowestLevel:
+    """Lowest level waiting for a service, its router, and the lowest level at other routers."""
 
     level: float
     router: str
-    elsewhere: float | None = None
+    at_others: float | None = None
 
-    def note(self, level: float, router: str) -> None:
+    def add(self, level: float, router: str) -> None:
         if level < self.level:
             if router != self.router:
-                self.elsewhere = self.level
+                self.at_others = self.level
             self.level, self.router = level, router
-        elif router != self.router and (self.elsewhere is None or level < self.elsewhere):
-            self.elsewhere = level
+        elif router != self.router and (self.at_others is None or level < self.at_others):
+            self.at_others = level
 
 
 class Demands:
-    """All demands at one moment."""
+    """All demands at one moment, with their lowest level and mean estimate."""
 
     def __init__(self, routers: Iterable[ReportingRouter], levels: FleetLevels) -> None:
         self.by_service: defaultdict[bytes, list[Demand]] = defaultdict(list)
-        self.floor: float | None = None
-        self.margin = 0
+        self.min_level: float | None = None
+        self.mean_estimate = 0
         self.count = 0
-        self._lowest: dict[bytes, _Lowest] = {}
+        self._lowest: dict[bytes, _LowestLevel] = {}
         estimates = 0
         for router in routers:
             unmet = router.count_pending()
@@ -62,7 +66,7 @@
                 if not report.waiting:
                     continue
                 level = levels.level(account)
-                self.floor = level if self.floor is None else min(self.floor, level)
+                self.min_level = level if self.min_level is None else min(self.min_level, level)
                 for service, waiting in report.waiting.items():
                     self.count += 1
                     estimates += waiting.estimate
@@ -76,22 +80,22 @@
                             waiting.estimate,
                             waiting.count,
                             waiting.count - unmet[account, service],
-                            waiting.overdue,
+                            waiting.starved,
                         )
                     )
         if self.count:
-            self.margin = round(estimates / self.count)
+            self.mean_estimate = round(estimates / self.count)
 
     def _note_lowest(self, service: bytes, level: float, router: str) -> None:
         lowest = self._lowest.get(service)
         if lowest is None:
-            self._lowest[service] = _Lowest(level, router)
+            self._lowest[service] = _LowestLevel(level, router)
         else:
-            lowest.note(level, router)
+            lowest.add(level, router)
 
-    def lowest_elsewhere(self, service: bytes, name: str) -> float | None:
-        """Return the least level that waits for a service at other routers."""
+    def lowest_at_others(self, service: bytes, name: str) -> float | None:
+        """Return the lowest level that waits for a service at routers other than ``name``."""
         lowest = self._lowest.get(service)
         if lowest is None:
             return None
-        return lowest.elsewhere if lowest.router == name else lowest.level
+        return lowest.at_others if lowest.router == name else lowest.level
--- a/packages/loomyard-router/src/loomyard_router/shares/drain_rate.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/drain_rate.py
@@ -1,36 +1,36 @@
-"""How fast the queue of one account drains."""
+"""Drain rate of the queue of one account."""
 
 from __future__ import annotations
 
-WEIGHT_OF_LAST = 0.1
-FEWEST_OBSERVED = 8
+MIN_SAMPLE_WEIGHT = 0.1
+MIN_SAMPLES = 8
 
 
 class DrainRate:
-    """A moving average of the seconds between admissions while requests wait."""
+    """Moving average of the seconds between admissions while requests wait."""
 
     def __init__(self, now: float) -> None:
         self._interval = 0.0
-        self._observed = 0
+        self._samples = 0
         self._since = now
 
     @property
     def known(self) -> bool:
-        """Tell whether enough was observed to judge by."""
-        return self._observed >= FEWEST_OBSERVED
+        """Return whether there are enough samples for an estimate."""
+        return self._samples >= MIN_SAMPLES
 
-    def begin(self, now: float) -> None:
-        """Take in that the queue is empty no more."""
+    def restart(self, now: float) -> None:
+        """Start an interval, when the queue stops being empty."""
         self._since = now
 
-    def note(self, now: float) -> None:
-        """Take in an admission."""
+    def record_admission(self, now: float) -> None:
+        """Record an admission, which ends one interval and starts the next."""
         interval = now - self._since
         self._since = now
-        weight = max(WEIGHT_OF_LAST, 1.0 / (self._observed + 1))
+        weight = max(MIN_SAMPLE_WEIGHT, 1.0 / (self._samples + 1))
         self._interval += weight * (interval - self._interval)
-        self._observed += 1
+        self._samples += 1
 
-    def seconds(self, requests: int) -> float:
-        """Return how long a number of requests probably takes."""
+    def expected_seconds(self, requests: int) -> float:
+        """Return the expected seconds until a number of requests has been admitted."""
         return self._interval * requests
--- a/packages/loomyard-router/src/loomyard_router/shares/floor_admission.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/fallback_admission.py
@@ -1,4 +1,4 @@
-"""The admission of requests while no lease of slots holds."""
+"""Admission of requests while this router has no valid lease of slots."""
 
 from __future__ import annotations
 
@@ -18,8 +18,11 @@
     from loomyard_router.shares.waiting import WaitingRequest
 
 
-class FloorAdmission:
-    """Send one request at a time to each service; ``start`` starts a request on a target."""
+class FallbackAdmission:
+    """Admit one request at a time for each service, so that work goes on without a lease.
+
+    ``start`` starts a request on a target at a moment.
+    """
 
     def __init__(
         self,
@@ -37,18 +40,21 @@
         self._start = start
         self._in_flight: Counter[str] = Counter()
 
-    def begin(self, service: str) -> None:
-        """Count a request that is sent to a service."""
+    def begin_request(self, service: str) -> None:
+        """Count a request in flight for a service."""
         self._in_flight[service] += 1
 
-    def end(self, service: str) -> None:
-        """Count the end of a request that was sent."""
+    def end_request(self, service: str) -> None:
+        """Count the end of a request in flight."""
         self._in_flight[service] -= 1
 
     def admit(self, now: float) -> None:
-        """Start a request of each service that has none in flight."""
+        """Start a request of each service that has none in flight, of the lowest-level account.
+
+        Rendezvous hashing of the router's name spreads the routers over the targets.
+        """
         for service in self._queues.services:
-            queues = self._queues.of(service)
+            queues = self._queues.for_service(service)
             if queues is None or self._in_flight[service]:
                 continue
             name = min(queues.accounts, key=lambda a: self._levels.level(short_id(a)))
--- a/packages/loomyard-router/src/loomyard_router/shares/fifo.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/fifo.py
@@ -1,4 +1,4 @@
-"""The ``fifo`` policy: each router sends work as it arrives."""
+"""The ``fifo`` policy: admit each request on arrival, without fairness between accounts."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class FifoPolicy:
-    """Admit at once, at the target with the fewest requests of this router."""
+    """Admit at once, to the target with the fewest running requests of this router per slot."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -51,5 +51,5 @@
 
 
 def make_fifo_policy(clock: Clock) -> FifoPolicy:
-    """Make the ``fifo`` policy."""
+    """Return a ``fifo`` policy."""
     return FifoPolicy(clock)
--- a/packages/loomyard-router/src/loomyard_router/shares/fleet.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/fleet.py
@@ -1,4 +1,4 @@
-"""The ``fleet`` policy: fair over all routers, with slots leased to where the neediest wait."""
+"""The ``fleet`` policy: fair over all routers, with slots leased to routers by an allocator."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from loomyard_router.shares.allocator import Allocator
 from loomyard_router.shares.allocator_selection import find_allocator
 from loomyard_router.shares.capacity import Capacity
+from loomyard_router.shares.fallback_admission import FallbackAdmission
 from loomyard_router.shares.fleet_size import FleetSize
-from loomyard_router.shares.floor_admission import FloorAdmission
-from loomyard_router.shares.give_back_pace import GiveBackPace
 from loomyard_router.shares.held_slots import HeldSlots
+from loomyard_router.shares.message_budget import MessageBudget
 from loomyard_router.shares.messages import ShareReply, ShareReport, ShareReset
-from loomyard_router.shares.overdue import Overdue
-from loomyard_router.shares.pacing import Pacer
 from loomyard_router.shares.reporter import Reporter
 from loomyard_router.shares.request_queues import RequestQueues
 from loomyard_router.shares.share_sender import ShareSender
 from loomyard_router.shares.short_ids import short_id
 from loomyard_router.shares.slot_choice import SlotChoice
+from loomyard_router.shares.slot_return_limiter import SlotReturnLimiter
+from loomyard_router.shares.starvation_tracker import StarvationTracker
 
 if TYPE_CHECKING:
     from gevent import Greenlet
@@ -43,18 +43,18 @@
 logger = logging.getLogger(__name__)
 
 POLL_INTERVAL = 0.02
-# While nothing waits or runs, only renewals of leases are due.
+# While no request waits or runs, only leases have to be renewed.
 IDLE_INTERVAL = 0.1
 MESSAGES_PER_SECOND = 16.0
 BYTES_PER_SECOND = 1700.0
 BYTES_PER_MESSAGE = 200.0
 MESSAGE_BURST = 8.0
-# A router that began less than this ago may not know yet that there are others.
-JOINING = 1.5
+# Seconds after its start until a router may assume that it knows the other routers.
+JOIN_WAIT = 1.5
 
 
 class FleetPolicy:
-    """Admit the neediest account of this router to leased slots; give slots to needier ones."""
+    """Admit the lowest-level account here to leased slots; return slots needed elsewhere."""
 
     def __init__(
         self,
@@ -63,24 +63,24 @@
         members: Membership,
         peers: PeerLinks,
         directory: TargetDirectory,
-        joining: float,
+        join_wait: float,
         byte_rate: float,
     ) -> None:
         self._clock = clock
         self._queues = RequestQueues(clock)
         self._levels = AccountLevels()
         self._held = HeldSlots()
-        self._overdue = Overdue()
-        self._pace = GiveBackPace()
+        self._starvation = StarvationTracker()
+        self._return_limiter = SlotReturnLimiter()
         self._capacity = Capacity(directory)
         self._choice = SlotChoice(
             queues=self._queues,
             levels=self._levels,
-            overdue=self._overdue,
+            starvation=self._starvation,
             capacity=self._capacity,
             directory=directory,
         )
-        self._floor = FloorAdmission(
+        self._fallback = FallbackAdmission(
             members=members,
             queues=self._queues,
             levels=self._levels,
@@ -90,41 +90,41 @@
         self._exchanging = False
         self._task: Greenlet | None = None
         messages = max(MESSAGES_PER_SECOND, byte_rate / BYTES_PER_MESSAGE)
-        pacer = Pacer(messages=messages, size=byte_rate, burst=MESSAGE_BURST)
+        budget = MessageBudget(messages=messages, size=byte_rate, burst=MESSAGE_BURST)
         sender = ShareSender(members, peers, deliver=self._deliver)
         self._reporter = Reporter(
             members=members,
             find_allocator=find_allocator,
             send=sender.send,
-            pacer=pacer,
+            budget=budget,
             queues=self._queues,
             levels=self._levels,
             held=self._held,
-            overdue=self._overdue,
+            starvation=self._starvation,
         )
         self._allocator = Allocator(
             clock,
             capacity=self._capacity,
             live=members.live,
             fleet_size=FleetSize(members).count,
-            joined_at=clock.now() + joining,
+            joined_at=clock.now() + join_wait,
             send=sender.send,
-            pacer=pacer,
+            budget=budget,
         )
         peers.handle(ShareReport, self._handle_report)
         peers.handle(ShareReply, self._handle_reply)
         peers.handle(ShareReset, self._handle_reset)
-        members.subscribe(self._allocator.take_members)
-        directory.subscribe(self._allocator.touch)
+        members.subscribe(self._allocator.mark_members_changed)
+        directory.subscribe(self._allocator.mark_capacity_changed)
 
     @property
     def held(self) -> HeldSlots:
-        """Return the slots that this router holds."""
+        """Return the slots that this router holds by lease."""
         return self._held
 
     @property
     def allocator(self) -> Allocator:
-        """Return the allocator, idle while another router is chosen."""
+        """Return this router's allocator, which is idle while another router is selected."""
         return self._allocator
 
     @property
@@ -135,9 +135,9 @@
         pushed = self._queues.push(waiting)
         if pushed.is_ok():
             account = short_id(waiting.account.metadata.name)
-            self._levels.begin(account, self._reporter.told.floor(self._clock.now()))
+            self._levels.begin(account, self._reporter.remote.min_level(self._clock.now()))
             self._admit()
-            self._note_waiting(waiting)
+            self._check_backlog(waiting)
             self._exchange()
         return pushed
 
@@ -154,14 +154,14 @@
     def finish(self, admission: Admission, cost: float) -> None:
         self.charge(admission, cost)
         self._held.release(short_id(admission.target.metadata.name))
-        self._floor.end(admission.waiting.service.metadata.name)
+        self._fallback.end_request(admission.waiting.service.metadata.name)
         self._levels.end(short_id(admission.waiting.account.metadata.name))
         self._admit()
         self._exchange()
 
     def reconfigure(self, routing: Routing) -> None:
         self._capacity.reconfigure(routing)
-        self._allocator.touch()
+        self._allocator.mark_capacity_changed()
         self._admit()
 
     def start(self) -> None:
@@ -170,17 +170,17 @@
     def stop(self) -> None:
         if self._task is not None:
             self._task.kill()
-        self._held.lapse()
+        self._held.clear_limits()
         self._reporter.urgent = True
         self._exchange()
 
     def poll(self) -> None:
-        """Do what has become due."""
+        """Admit requests and send the messages that have become due."""
         self._admit()
         self._exchange()
 
     def waiting(self, service: str) -> int:
-        """Return how many requests of a service wait in the fleet, as far as reported here."""
+        """Return how many requests of a service wait in the fleet, as reported to this router."""
         return self._allocator.waiting(short_id(service))
 
     def _run(self) -> None:
@@ -188,72 +188,72 @@
             self._clock.sleep(IDLE_INTERVAL if self._idle else POLL_INTERVAL)
             try:
                 self.poll()
-            except Exception as error:  # the policy must outlive a fault of one round
+            except Exception as error:  # one failed round must not stop the policy
                 emit(logger, Event.HANDLER_FAILED, task="shares", error=repr(error))
 
     def _exchange(self) -> None:
-        """Send what is due; what arrives meanwhile, from this router itself, waits its turn."""
+        """Send due messages, unless called while doing so by a message to this router itself."""
         if self._exchanging:
             return
         self._exchanging = True
         try:
             now = self._clock.now()
-            self._give_back_idle(now)
+            self._return_idle_slots(now)
             self._reporter.poll(now)
             self._allocator.poll()
         finally:
             self._exchanging = False
 
-    def _note_waiting(self, waiting: WaitingRequest) -> None:
+    def _check_backlog(self, waiting: WaitingRequest) -> None:
         service, account = waiting.service.metadata.name, waiting.account.metadata.name
         if count := self._queues.length(service, account):
-            self._reporter.note_waiting(short_id(account), short_id(service), count)
+            self._reporter.check_backlog(short_id(account), short_id(service), count)
 
     def _admit(self) -> None:
         now = self._clock.now()
-        if not self._held.valid(now):
-            self._floor.admit(now)
+        if not self._held.is_valid(now):
+            self._fallback.admit(now)
             return
         free = self._held.free(now)
-        while free and (waiting := self._choice.find_neediest(free, now)) is not None:
+        while free and (waiting := self._choice.find_next(free, now)) is not None:
             target = self._choice.choose_target(waiting, free)
             free[target] -= 1
             if not free[target]:
                 del free[target]
-            if not self._reporter.may_send(now) or self._keeps(waiting, now):
+            if not self._reporter.can_report(now) or self._keeps_slot(waiting, now):
                 self._start(waiting, target, now)
             else:
-                self._held.give_back(target)
+                self._held.return_slots(target)
                 self._reporter.urgent = True
 
-    def _keeps(self, waiting: WaitingRequest, now: float) -> bool:
-        if self._overdue.applies(waiting, now):
+    def _keeps_slot(self, waiting: WaitingRequest, now: float) -> bool:
+        if self._starvation.is_starved(waiting, now):
             return True
         level = self._levels.level(short_id(waiting.account.metadata.name))
         service = short_id(waiting.service.metadata.name)
-        excess = self._reporter.told.excess(service, level, now)
-        return not self._pace.is_due(service, excess, now)
+        excess = self._reporter.remote.excess(service, level, now)
+        return not self._return_limiter.should_return(service, excess, now)
 
     def _start(self, waiting: WaitingRequest, target: bytes, now: float) -> None:
         service, account = waiting.service.metadata.name, waiting.account.metadata.name
-        taken = self._queues.pop(service, account)
-        assert taken is waiting
-        self._held.take(target)
-        self._floor.begin(service)
-        self._overdue.note(waiting, now)
+        popped = self._queues.pop(service, account)
+        assert popped is waiting
+        self._held.acquire(target)
+        self._fallback.begin_request(service)
+        self._starvation.record_admission(waiting, now)
         admission = Admission(
             waiting=waiting, target=waiting.targets_by_id[target], admitted_at=now
         )
         self.charge(admission, waiting.estimate)
         waiting.admitted.set(admission)
 
-    def _give_back_idle(self, now: float) -> None:
-        """Give back free slots that somebody else could use."""
-        if not self._reporter.told or not self._reporter.may_send(now):
+    def _return_idle_slots(self, now: float) -> None:
+        """Return free slots for whose services requests wait at other routers."""
+        if not self._reporter.remote or not self._reporter.can_report(now):
             return
         for target, slots in self._held.free(now).items():
-            if any(service in self._reporter.told for service in self._capacity.services(target)):
-                self._held.give_back(target, slots)
+            if any(service in self._reporter.remote for service in self._capacity.services(target)):
+                self._held.return_slots(target, slots)
                 self._reporter.urgent = True
 
     def _handle_report(self, sender: Member, report: ShareReport) -> None:
@@ -288,13 +288,13 @@
     directory: TargetDirectory,
     byte_rate: float = BYTES_PER_SECOND,
 ) -> FleetPolicy:
-    """Make the ``fleet`` policy; ``byte_rate`` bounds what it sends, in bytes a second."""
-    joining = 0.0 if isinstance(members, SoleMembership) else JOINING
+    """Return a ``fleet`` policy that sends at most ``byte_rate`` bytes a second to its peers."""
+    join_wait = 0.0 if isinstance(members, SoleMembership) else JOIN_WAIT
     return FleetPolicy(
         clock,
         members=members,
         peers=peers,
         directory=directory,
-        joining=joining,
+        join_wait=join_wait,
         byte_rate=byte_rate,
     )
--- a/packages/loomyard-router/src/loomyard_router/shares/fleet_size.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/fleet_size.py
@@ -1,4 +1,4 @@
-"""How many routers the fleet has, those out of reach included."""
+"""Number of routers in the fleet, including unreachable ones."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class FleetSize:
-    """Count the routers that were seen and that membership remembers, but for leaving ones.
+    """Count the routers seen live that membership still lists, except those that are leaving.
 
-    Membership remembers a dead router for as long as the VM list names its VM, so that the smaller
-    side of a partition knows that it is the smaller one.
+    Membership lists a dead router for as long as the VM list names its VM, so that the smaller
+    side of a partition knows that it has no majority.
     """
 
     def __init__(self, members: Membership) -> None:
@@ -22,7 +22,7 @@
         self._seen: set[str] = set()
 
     def count(self) -> int:
-        """Return the number of routers."""
+        """Return the number of routers, dead and unreachable ones included."""
         self._seen.update(member.name for member in self._members.live())
         known = {name: self._members.find(name) for name in self._seen}
         self._seen = {name for name, member in known.items() if member is not None}
--- a/packages/loomyard-router/src/loomyard_router/shares/granting.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/granting.py
@@ -1,4 +1,4 @@
-"""Grant free slots to what waits."""
+"""Granting of free slots to waiting requests."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 def grant_demands(demands: Demands, free: dict[bytes, int], capacity: Capacity) -> None:
-    """Grant slots, the account with the least level first; each grant counts its estimate.
+    """Grant free slots, each to the account with the lowest level, counting granted estimates.
 
-    Overdue demands go before all others, with one slot each.
+    Starved demands are served before all others, with one slot each. ``free`` is updated.
     """
     granted: defaultdict[bytes, float] = defaultdict(float)
     found = [d for waiting in demands.by_service.values() for d in waiting if d.unmet > 0]
-    heap = [(not d.overdue, d.level, number, 0) for number, d in enumerate(found)]
+    heap = [(not d.starved, d.level, number, 0) for number, d in enumerate(found)]
     heapify(heap)
     while heap:
-        in_turn, level, number, served = heappop(heap)
+        regular, level, number, served = heappop(heap)
         demand = found[number]
         current = demand.level + granted[demand.account]
         if current > level:
-            heappush(heap, (in_turn, current, number, served))
+            heappush(heap, (regular, current, number, served))
         elif _grant(demand, free, capacity):
             granted[demand.account] += max(1, demand.estimate)
             if served + 1 < demand.unmet:
--- a/packages/loomyard-router/src/loomyard_router/shares/held_slots.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/held_slots.py
@@ -1,4 +1,4 @@
-"""Slots that this router holds by lease, and those in use."""
+"""Slots that this router holds by lease, and slots in use."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class HeldSlots:
-    """Limits of targets under one lease, which ends at ``lease_until`` of the monotonic clock."""
+    """Slot limits by target under one lease, which ends at ``lease_until`` (monotonic seconds)."""
 
     def __init__(self) -> None:
         self.lease_until = float("-inf")
         self._limits: dict[bytes, int] = {}
         self._in_use: Counter[bytes] = Counter()
 
-    def valid(self, now: float) -> bool:
-        """Tell whether the lease still holds."""
+    def is_valid(self, now: float) -> bool:
+        """Return whether the lease is valid."""
         return now < self.lease_until
 
     def free(self, now: float) -> dict[bytes, int]:
-        """Return the free slots by target, targets without any left out."""
-        if not self.valid(now):
+        """Return the free slots by target, without targets that have none."""
+        if not self.is_valid(now):
             return {}
         in_use = self._in_use
         return {t: limit - in_use[t] for t, limit in self._limits.items() if limit > in_use[t]}
@@ -39,32 +39,32 @@
         return self._in_use[target]
 
     def set_limit(self, target: bytes, limit: int) -> None:
-        """Take over a limit that the allocator told."""
+        """Set the number of slots of a target that the allocator granted."""
         if limit:
             self._limits[target] = limit
         else:
             self._limits.pop(target, None)
 
-    def give_back(self, target: bytes, slots: int = 1) -> None:
-        """Hold fewer slots of a target."""
+    def return_slots(self, target: bytes, slots: int = 1) -> None:
+        """Lower the limit of a target; the next report tells the allocator."""
         self.set_limit(target, max(0, self._limits.get(target, 0) - slots))
 
-    def take(self, target: bytes) -> None:
-        """Use a slot."""
+    def acquire(self, target: bytes) -> None:
+        """Count a slot as in use."""
         self._in_use[target] += 1
 
     def release(self, target: bytes) -> None:
-        """End the use of a slot."""
+        """Count a slot as no longer in use."""
         self._in_use[target] -= 1
         if not self._in_use[target]:
             del self._in_use[target]
 
-    def lapse(self) -> None:
-        """Drop all limits, since the lease ended."""
+    def clear_limits(self) -> None:
+        """Remove all limits, at the end of the lease."""
         self._limits.clear()
 
     def report(self, known: Iterable[bytes]) -> dict[bytes, SlotReport]:
-        """Return what to report of targets held, in use or ``known`` from earlier reports."""
+        """Return the slots of targets held, in use or ``known`` from earlier reports."""
         targets = {*self._limits, *self._in_use, *known}
         return {target: self._report(target) for target in targets}
 
--- a/packages/loomyard-router/src/loomyard_router/shares/lease_terms.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/lease_terms.py
@@ -1,30 +1,30 @@
-"""How long slots are leased, and how often routers report, at each size of fleet."""
+"""Lease durations and report intervals, in seconds, by fleet size."""
 
 from __future__ import annotations
 
-LEASE = 2.4
-# The lease while nothing waits or runs anywhere, so that renewals are few.
-IDLE_LEASE = 6.0
-# What one reply takes of the allocator's budget, in bytes, and how often it comes in a lease.
+LEASE_SECONDS = 2.4
+# While no request waits or runs anywhere, a longer lease needs fewer renewals.
+IDLE_LEASE_SECONDS = 6.0
+# Bytes of one reply in the allocator's budget, and replies to each router in one lease.
 REPLY_BYTES = 200
 REPLIES_PER_LEASE = 2.5
-# Reports that are not urgent leave at least this much time between them.
-REPORT_GAP = 0.4
+# Non-urgent reports: minimum seconds between two, and maximum number in one lease.
+MIN_REPORT_INTERVAL = 0.4
 REPORTS_PER_LEASE = 6
-URGENT_PART = 0.125
+URGENT_INTERVAL_FRACTION = 0.125
 
 
-def lease_term(routers: int, byte_rate: float, *, idle: bool = False) -> float:
-    """Return the lease in seconds: time to answer every router within ``byte_rate`` a second."""
+def lease_seconds(routers: int, byte_rate: float, *, idle: bool = False) -> float:
+    """Return the lease, long enough to answer every router at ``byte_rate`` bytes a second."""
     round_trip = routers * REPLY_BYTES / byte_rate
-    return max(IDLE_LEASE if idle else LEASE, REPLIES_PER_LEASE * round_trip)
+    return max(IDLE_LEASE_SECONDS if idle else LEASE_SECONDS, REPLIES_PER_LEASE * round_trip)
 
 
-def report_gap(lease: float) -> float:
-    """Return the seconds between reports that are not urgent."""
-    return max(REPORT_GAP, lease / REPORTS_PER_LEASE)
+def report_interval(lease: float) -> float:
+    """Return the minimum seconds between non-urgent reports."""
+    return max(MIN_REPORT_INTERVAL, lease / REPORTS_PER_LEASE)
 
 
-def urgent_gap(lease: float) -> float:
-    """Return the seconds between urgent reports: none in a small fleet."""
-    return max(0.0, lease - IDLE_LEASE) * URGENT_PART
+def urgent_report_interval(lease: float) -> float:
+    """Return the minimum seconds between urgent reports, 0 in a small fleet."""
+    return max(0.0, lease - IDLE_LEASE_SECONDS) * URGENT_INTERVAL_FRACTION
--- a/packages/loomyard-router/src/loomyard_router/shares/levels.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/levels.py
@@ -1,25 +1,29 @@
-"""Levels of client accounts over the whole fleet: service over weight, as the allocator sees it."""
+"""Levels of client accounts over the whole fleet, as the allocator sees them.
+
+A level is normalized service: cost divided by the account's weight, as in fair queueing.
+"""
 
 from __future__ import annotations
 
 from collections import Counter, defaultdict
 
-from loomyard_router.shares.floor_level import FloorLevel
 from loomyard_router.shares.messages import UNKNOWN_LEVEL
+from loomyard_router.shares.min_level import MinLevel
 
-LINGER = 1.0
+# Seconds without requests (waiting, or waiting and running) after which an account is idle.
+IDLE_TIMEOUT = 1.0
 
 
 class FleetLevels:
-    """Sum what routers report of accounts, and lift accounts that come back from idleness.
+    """Sum the service that routers report, and lift accounts that return from idleness.
 
-    A source is one start of one router. An account of which nothing waited or ran anywhere for
-    ``LINGER`` seconds is lifted to the floor, the least level among the backlogged; one whose
-    requests only ran keeps a bounded credit below the floor.
+    A source is one start of one router. An account without any request for ``IDLE_TIMEOUT``
+    seconds is lifted to the minimum level among the backlogged accounts, so that idleness earns no
+    credit; one whose requests only ran keeps a bounded credit below the minimum level.
     """
 
     def __init__(self) -> None:
-        self.floor = FloorLevel()
+        self.min_level = MinLevel()
         self._levels: dict[bytes, float] = {}
         self._reported: defaultdict[tuple[str, int], dict[bytes, int]] = defaultdict(dict)
         self._waiting: Counter[bytes] = Counter()
@@ -28,81 +32,89 @@
         self._active_at: dict[bytes, float] = {}
 
     def level(self, account: bytes) -> float:
-        """Return the level of an account."""
-        return self._levels.get(account, self.floor.value)
+        """Return the level of an account, the minimum level if it is unknown."""
+        return self._levels.get(account, self.min_level.value)
 
     def offset(self, source: tuple[str, int], account: bytes) -> int:
-        """Return the level less what a source reported."""
+        """Return the account's level minus the service that a source reported for it."""
         return round(self.level(account) - self._reported[source].get(account, 0))
 
-    def report(self, source: tuple[str, int], account: bytes, service: int, known: int) -> None:
-        """Take in the service that a source gave an account since its start."""
+    def report(self, source: tuple[str, int], account: bytes, served: int, known: int) -> None:
+        """Add the service that a source gave an account since its last report.
+
+        ``served`` counts from the start of the source; ``known`` is the level as the source knows
+        it, which rebuilds a new allocator.
+        """
         reported = self._reported[source].get(account)
-        self._reported[source][account] = service
+        self._reported[source][account] = served
         level = self._levels.get(account)
         if reported is not None and level is not None:
-            self._levels[account] = level + service - reported
+            self._levels[account] = level + served - reported
         elif known != UNKNOWN_LEVEL:
             self._levels[account] = max(known, level or 0.0)
         else:
-            self._levels[account] = self.level(account) + service
+            self._levels[account] = self.level(account) + served
 
-    def align(self, floor: int, tolerance: float) -> float | None:
-        """Return how far the levels of a joining router are from those here.
+    def shift_from(self, min_level: int, tolerance: float) -> float | None:
+        """Return what to add to the levels of a joining router to compare them with those here.
 
-        ``None`` where they are the same but for staleness. After a partition they are not: each
-        side counted on without the other, and only distances from the floor compare.
+        ``None`` if its minimum level differs by no more than ``tolerance``, by staleness. After a
+        partition, each side has counted without the other, so that only distances from the minimum
+        level can be compared.
         """
-        if floor == UNKNOWN_LEVEL:
+        if min_level == UNKNOWN_LEVEL:
             return None
-        if not self.floor.known:
-            self.floor.value, self.floor.known = floor, True
+        if not self.min_level.known:
+            self.min_level.value, self.min_level.known = min_level, True
             return None
-        shift = self.floor.value - floor
+        shift = self.min_level.value - min_level
         return shift if abs(shift) > tolerance else None
 
-    def join(
-        self, source: tuple[str, int], account: bytes, service: int, level: float, now: float
+    def merge_account(
+        self, source: tuple[str, int], account: bytes, served: int, level: float, now: float
     ) -> None:
-        """Take in an account of a router from the other side of a partition.
+        """Adopt the shifted level of an account from a router of the other side of a partition.
 
-        An account that was backlogged on this side too keeps its level here.
+        An account that has a backlog on this side too keeps its level here.
         """
-        self._reported[source][account] = service
-        if not self._waiting[account] and self._absent(self._waited_at, account, now):
+        self._reported[source][account] = served
+        if not self._waiting[account] and self._is_idle(self._waited_at, account, now):
             self._levels[account] = level
 
     def begin_waiting(self, account: bytes, now: float, *, credit: float, lift: bool) -> None:
-        """Take in that an account waits at one more router."""
-        if lift and not self._waiting[account] and self._absent(self._waited_at, account, now):
-            self._lift(account, self.floor.value - credit)
+        """Count one more router at which requests of an account wait.
+
+        With ``lift``, an account that had none waiting is lifted to ``credit`` below the minimum.
+        """
+        if lift and not self._waiting[account] and self._is_idle(self._waited_at, account, now):
+            self._lift(account, self.min_level.value - credit)
         self._waiting[account] += 1
 
     def end_waiting(self, account: bytes, now: float) -> None:
-        """Take in that an account waits at one router less."""
-        self._leave(self._waiting, self._waited_at, account, now)
+        """Count one router less at which requests of an account wait."""
+        self._decrement(self._waiting, self._waited_at, account, now)
 
     def begin_active(self, account: bytes, now: float, *, lift: bool) -> None:
-        """Take in that an account waits or runs at one more router."""
-        if lift and not self._active[account] and self._absent(self._active_at, account, now):
-            self._lift(account, self.floor.value)
+        """Count one more router at which requests of an account wait or run."""
+        if lift and not self._active[account] and self._is_idle(self._active_at, account, now):
+            self._lift(account, self.min_level.value)
         self._active[account] += 1
 
     def end_active(self, account: bytes, now: float) -> None:
-        """Take in that an account waits or runs at one router less."""
-        self._leave(self._active, self._active_at, account, now)
+        """Count one router less at which requests of an account wait or run."""
+        self._decrement(self._active, self._active_at, account, now)
 
-    def forget(self, source: tuple[str, int]) -> None:
-        """Drop the counters of a start of a router that has ended."""
+    def remove_source(self, source: tuple[str, int]) -> None:
+        """Remove the service reported by a source that has ended."""
         self._reported.pop(source, None)
 
-    def _lift(self, account: bytes, least: float) -> None:
-        self._levels[account] = max(self.level(account), least)
+    def _lift(self, account: bytes, minimum: float) -> None:
+        self._levels[account] = max(self.level(account), minimum)
 
-    def _absent(self, left_at: dict[bytes, float], account: bytes, now: float) -> bool:
-        return now - left_at.get(account, -LINGER) >= LINGER
+    def _is_idle(self, left_at: dict[bytes, float], account: bytes, now: float) -> bool:
+        return now - left_at.get(account, -IDLE_TIMEOUT) >= IDLE_TIMEOUT
 
-    def _leave(
+    def _decrement(
         self, counter: Counter[bytes], left_at: dict[bytes, float], account: bytes, now: float
     ) -> None:
         counter[account] -= 1
--- a/packages/loomyard-router/src/loomyard_router/shares/local.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/local.py
@@ -1,4 +1,4 @@
-"""The ``local`` policy: each router is fair by itself over a fixed part of the slots."""
+"""The ``local`` policy: each router is fair on its own, over a fixed share of the slots."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
 
 
 class LocalPolicy:
-    """Least service over weight first, over this router's part of each target's slots."""
+    """Admit the account with the least normalized service, within this router's share of slots.
+
+    ``position`` is the router's position, from 0, among ``routers`` routers.
+    """
 
     def __init__(self, clock: Clock, *, position: int, routers: int) -> None:
         self._clock = clock
@@ -67,7 +70,7 @@
         pass
 
     def _admit(self, service: str) -> None:
-        while (queues := self._queues.of(service)) is not None:
+        while (queues := self._queues.for_service(service)) is not None:
             ready = [name for name in queues.accounts if self._find_slot(queues.head(name))]
             if not ready:
                 return
@@ -84,10 +87,10 @@
         return max(free, key=self._free, default=None)
 
     def _free(self, target: Target) -> int:
-        share, rest = divmod(target.slots, self._routers)
-        # The rest goes round over all targets, so that no router is left with nothing.
+        share, remainder = divmod(target.slots, self._routers)
+        # The remainders are dealt round-robin over all targets, so that no router gets no slots.
         first = self._slots_before.get(target.metadata.name, 0)
-        extra = 1 if (self._position - first) % self._routers < rest else 0
+        extra = 1 if (self._position - first) % self._routers < remainder else 0
         return share + extra - self._running[target.metadata.name]
 
 
@@ -101,5 +104,5 @@
 
 
 def make_local_policy(clock: Clock, *, position: int = 0, routers: int = 1) -> LocalPolicy:
-    """Make the ``local`` policy of the router at a position among a number of routers."""
+    """Return the ``local`` policy of the router at ``position`` among ``routers`` routers."""
     return LocalPolicy(clock, position=position, routers=routers)
--- a/packages/loomyard-router/src/loomyard_router/shares/pacing.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/message_budget.py
@@ -1,10 +1,13 @@
-"""Pacing of messages to a budget of messages and bytes."""
+"""Rate limit on messages to other routers."""
 
 from __future__ import annotations
 
 
-class Pacer:
-    """A token bucket over messages and bytes; where it is empty, messages wait and are merged."""
+class MessageBudget:
+    """Token buckets over messages and bytes; while one is empty, messages wait and are merged.
+
+    ``messages`` and ``size`` are rates a second, of messages and bytes; ``burst`` is in messages.
+    """
 
     def __init__(self, *, messages: float, size: float, burst: float) -> None:
         self._message_rate = messages
@@ -16,16 +19,16 @@
 
     @property
     def byte_rate(self) -> float:
-        """Return the budget in bytes a second."""
+        """Return the rate limit in bytes a second."""
         return self._byte_rate
 
     def allows(self, now: float) -> bool:
-        """Tell whether a message may go."""
+        """Return whether a message may be sent."""
         self._fill(now)
         return self._messages >= 1.0 and self._bytes > 0.0
 
     def spend(self, size: int) -> None:
-        """Take a message off the budget; one of no size stayed on this router."""
+        """Charge a message of ``size`` bytes; size 0 means that it stayed on this router."""
         if not size:
             return
         self._messages -= 1.0
--- a/packages/loomyard-router/src/loomyard_router/shares/messages.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/messages.py
@@ -1,4 +1,7 @@
-"""Messages between a router and the allocator; levels and service are in units over weight."""
+"""Messages between a router and the allocator.
+
+Levels, service, estimates and margins are normalized: in units of the service over weight.
+"""
 
 from __future__ import annotations
 
@@ -10,39 +13,39 @@
 
 
 @frozen
-class Waiting:
+class BacklogReport:
     """Requests of one account that wait for one service at one router.
 
-    ``estimate`` is the cost of the oldest over weight; ``overdue`` asks for the floor by age.
+    ``estimate`` is the cost of the oldest; ``starved`` asks to serve it next.
     """
 
     count: int
     estimate: int
-    overdue: bool = False
+    starved: bool = False
 
 
 @frozen
 class AccountReport:
-    """What one router did for one account since its start.
+    """State of one account at one router.
 
-    ``known_level`` is the account's level as this router sees it, ``UNKNOWN_LEVEL`` where the
-    router was never told one.
+    ``served`` is the service since the router started. ``known_level`` is the account's level as
+    the router knows it, ``UNKNOWN_LEVEL`` if it has received none.
     """
 
-    service: int
+    served: int
     known_level: int
     running: bool
-    waiting: dict[bytes, Waiting]
+    waiting: dict[bytes, BacklogReport]
 
     @property
     def active(self) -> bool:
-        """Tell whether anything waits or runs."""
+        """Return whether a request of the account waits or runs."""
         return self.running or bool(self.waiting)
 
 
 @frozen
 class SlotReport:
-    """Slots of one target at one router: the limit it keeps, and those in use above it."""
+    """Slots of one target at one router: the limit it holds, and the slots in use above it."""
 
     limit: int
     excess: int
@@ -51,26 +54,26 @@
 @peer_message("sr")
 @frozen
 class ShareReport:
-    """Tell the allocator what changed since its acknowledged ``baseline``.
+    """Report of a router to the allocator: changes since the acknowledged report ``baseline``.
 
-    ``acknowledged`` is the last reply of the session that the router applied, ``floor`` the floor
-    as it was told, by whichever allocator.
+    ``acknowledged`` is the last reply of the session that the router applied, ``min_level`` the
+    minimum level that it last received, of this or an earlier allocator.
     """
 
     session: int
     sequence: int
     acknowledged: int
     baseline: int
-    floor: int
+    min_level: int
     accounts: dict[bytes, AccountReport] = field(factory=dict)
     slots: dict[bytes, SlotReport] = field(factory=dict)
 
 
 @frozen
-class Elsewhere:
-    """The least level that waits for a service at other routers, and its growth a second.
+class RemoteLowest:
+    """The lowest level that waits for a service at other routers, and its growth a second.
 
-    A router gives a slot back where its own neediest is above that by more than the ``margin``.
+    A router returns a slot if its own lowest level is higher by more than the ``margin``.
     """
 
     level: int
@@ -81,29 +84,29 @@
 @peer_message("sa")
 @frozen
 class ShareReply:
-    """Tell a router what changed since its acknowledged reply.
+    """Reply of the allocator to a router: changes since the reply that the router acknowledged.
 
-    ``offsets`` are levels less what this router reported of the account; ``lowest`` tells
-    of the neediest account that waits for a service elsewhere, ``None`` where none waits;
-    ``floor_rate`` is the growth of the floor a second; ``limits``
-    are slots of targets, leased for ``lease_ms`` from when the acknowledged report was sent.
+    ``offsets`` are levels of accounts minus the service that this router reported; ``lowest`` is
+    the lowest level waiting at other routers, by service, ``None`` if no request waits;
+    ``min_level_rate`` is the growth of ``min_level`` a second; ``limits`` are slots by target,
+    leased for ``lease_ms`` from when the acknowledged report was sent.
     """
 
     session: int
     sequence: int
     acknowledged: int
     lease_ms: int
-    floor: int
-    floor_rate: int
+    min_level: int
+    min_level_rate: int
     margin: int
     offsets: dict[bytes, int] = field(factory=dict)
-    lowest: dict[bytes, Elsewhere | None] = field(factory=dict)
+    lowest: dict[bytes, RemoteLowest | None] = field(factory=dict)
     limits: dict[bytes, int] = field(factory=dict)
 
 
 @peer_message("sx")
 @frozen
 class ShareReset:
-    """Ask a router to begin a new session, since this one is not known here."""
+    """Request of the allocator to begin a new session, since it does not know this one."""
 
     session: int
--- a/packages/loomyard-router/src/loomyard_router/shares/floor_level.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/min_level.py
@@ -1,13 +1,13 @@
-"""The least level among the backlogged accounts, and how fast it grows."""
+"""Minimum level among the backlogged accounts, and its growth rate."""
 
 from __future__ import annotations
 
 RATE_INTERVAL = 1.0
-WEIGHT_OF_LAST = 0.5
+SAMPLE_WEIGHT = 0.5
 
 
-class FloorLevel:
-    """The floor as last seen; it stays where it was while nobody is backlogged."""
+class MinLevel:
+    """Last minimum level and its growth a second; the level stays while there is no backlog."""
 
     def __init__(self) -> None:
         self.value = 0.0
@@ -15,8 +15,8 @@
         self.known = False
         self._measured_from: tuple[float, float] | None = None
 
-    def note(self, value: float, now: float) -> None:
-        """Take in the floor at a moment."""
+    def update(self, value: float, now: float) -> None:
+        """Record the minimum level at a moment."""
         self.value = value
         self.known = True
         if self._measured_from is None:
@@ -25,10 +25,10 @@
         if now - since < RATE_INTERVAL:
             return
         rate = max(0.0, (value - before) / (now - since))
-        self.rate += WEIGHT_OF_LAST * (rate - self.rate)
+        self.rate += SAMPLE_WEIGHT * (rate - self.rate)
         self._measured_from = now, value
 
-    def rest(self) -> None:
-        """Take in that nobody is backlogged."""
+    def reset_rate(self) -> None:
+        """Reset the growth rate, since no account has a backlog."""
         self.rate = 0.0
         self._measured_from = None
--- a/packages/loomyard-router/src/loomyard_router/shares/policy.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/policy.py
@@ -1,4 +1,4 @@
-"""The protocol of a share policy."""
+"""Protocol of a share policy."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
     """
 
     def submit(self, waiting: WaitingRequest) -> Result[None, Fault]:
-        """Queue a request; it is admitted through its ``admitted``.
+        """Queue a request; its ``admitted`` receives the admission.
 
-        Error: ``QUEUE_FULL`` with ``retry_after``.
+        Errors: ``QUEUE_FULL``, ``DEADLINE_UNREACHABLE``, both with ``retry_after``.
         """
 
     def withdraw(self, waiting: WaitingRequest) -> bool:
-        """Take a request out of the queue; false where it was admitted already."""
+        """Remove a request from the queue; return false if it is admitted already."""
 
     def charge(self, admission: Admission, cost: float) -> None:
-        """Charge the cost that an admitted request has reached so far."""
+        """Charge an admitted request up to ``cost``, its total cost so far."""
 
     def finish(self, admission: Admission, cost: float) -> None:
-        """Settle an admitted request to what really ran and free its slot."""
+        """Charge an admitted request its actual total cost and free its slot."""
 
     def reconfigure(self, routing: Routing) -> None:
-        """Take over a configuration."""
+        """Apply a configuration."""
 
     def start(self) -> None:
         """Start the tasks of the policy."""
 
     def stop(self) -> None:
-        """Give all slots back and end the tasks."""
+        """Return all slots and end the tasks."""
--- a/packages/loomyard-router/src/loomyard_router/shares/reporter.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/reporter.py
@@ -1,15 +1,15 @@
-"""Report to the allocator, on change and within the budget, and take its replies in."""
+"""Reports of a router to the allocator, sent on changes and within the message budget."""
 
 from __future__ import annotations
 
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from loomyard_router.shares.lease_terms import report_gap, urgent_gap
-from loomyard_router.shares.messages import UNKNOWN_LEVEL, AccountReport, ShareReport, Waiting
+from loomyard_router.shares.lease_terms import report_interval, urgent_report_interval
+from loomyard_router.shares.messages import UNKNOWN_LEVEL, AccountReport, BacklogReport, ShareReport
+from loomyard_router.shares.remote_levels import RemoteLevels
 from loomyard_router.shares.share_session import ShareSession
 from loomyard_router.shares.short_ids import short_id
-from loomyard_router.shares.told_levels import ToldLevels
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -17,30 +17,37 @@
     from loomyard_router.members.membership import Membership
     from loomyard_router.shares.account_levels import AccountLevels
     from loomyard_router.shares.held_slots import HeldSlots
+    from loomyard_router.shares.message_budget import MessageBudget
     from loomyard_router.shares.messages import ShareReply
-    from loomyard_router.shares.overdue import Overdue
-    from loomyard_router.shares.pacing import Pacer
     from loomyard_router.shares.request_queues import RequestQueues
-
-# Where service moved by more than this part of the margin, the least gap is enough.
-MUCH_PART = 0.5
-LEAST_GAP = 0.15
-# An unanswered first report is repeated after this time.
-OPENING_GAP = 0.25
-# Without an answer for this long, or for this part of the lease, the allocator may be gone.
+    from loomyard_router.shares.starvation_tracker import StarvationTracker
+
+# A change of service by more than this fraction of the margin is reported after MIN_INTERVAL
+# seconds, smaller changes after the interval for non-urgent reports.
+LARGE_CHANGE_FRACTION = 0.5
+MIN_INTERVAL = 0.15
+# Seconds after which an unanswered first report of a session is repeated.
+OPEN_RETRY_INTERVAL = 0.25
+# The allocator is suspected without a reply for both this many seconds and this fraction of the
+# lease.
 SUSPICION_TIMEOUT = 1.0
-SUSPICION_PART = 0.75
+SUSPICION_LEASE_FRACTION = 0.75
 RENEWALS_PER_LEASE = 3
-MOST_WAITING_REPORTED = 32
-# Service that moved by less than this part of the margin is not reported.
-REPORTED_PART = 0.125
-KNOWN_SINCE_BEFORE = 0
-# A prime, so that starts any time apart begin with different numbers, in three bytes.
-FIRST_SESSIONS = 65521
+MAX_WAITING_REPORTED = 32
+# A change of service by less than this fraction of the margin is not reported.
+REPORTED_CHANGE_FRACTION = 0.125
+# Reported as the level of an account that the allocator knows already.
+LEVEL_ACKNOWLEDGED = 0
+# A prime, so that incarnations any interval apart begin with different session numbers, which take
+# three bytes in a message.
+FIRST_SESSION_MODULUS = 65521
 
 
 class Reporter:
-    """The side of a router in the exchange with the allocator."""
+    """Send reports to the allocator and apply its replies to levels and held slots.
+
+    Setting ``urgent`` requests a report as soon as the lease allows.
+    """
 
     def __init__(
         self,
@@ -48,78 +55,78 @@
         members: Membership,
         find_allocator: Callable[[Membership], str],
         send: Callable[[str, ShareReport], int],
-        pacer: Pacer,
+        budget: MessageBudget,
         queues: RequestQueues,
         levels: AccountLevels,
         held: HeldSlots,
-        overdue: Overdue,
+        starvation: StarvationTracker,
     ) -> None:
         self._members = members
         self._find_allocator = find_allocator
         self._send = send
-        self._pacer = pacer
+        self._budget = budget
         self._queues = queues
         self._levels = levels
         self._held = held
-        self._overdue = overdue
-        # Replies to an earlier start of this router, by the same name, must not fit this one.
-        self._session = ShareSession(1 + members.own.incarnation % FIRST_SESSIONS)
+        self._starvation = starvation
+        # Replies to an earlier incarnation of this router must not match a session of this one.
+        self._session = ShareSession(1 + members.own.incarnation % FIRST_SESSION_MODULUS)
         self._allocator = ""
         self._members_changed = True
         self._sent_at = float("-inf")
         self._unanswered_since: float | None = None
         self._lease = 0.0
-        self._asked: Counter[tuple[bytes, bytes]] = Counter()
-        self._granted = 0
+        self._reported_waiting: Counter[tuple[bytes, bytes]] = Counter()
+        self._granted_since_report = 0
         self.urgent = False
-        self.told = ToldLevels()
-        members.subscribe(self._note_members)
+        self.remote = RemoteLevels()
+        members.subscribe(self._mark_members_changed)
 
-    def may_send(self, now: float) -> bool:
-        """Tell whether a report may go now."""
-        return self._session.opened and (self._reports_to_itself or self._pacer.allows(now))
+    def can_report(self, now: float) -> bool:
+        """Return whether the session is open and the budget allows a report."""
+        return self._session.opened and (self._reports_to_itself or self._budget.allows(now))
 
-    def note_waiting(self, account: bytes, service: bytes, count: int) -> None:
-        """Report at once where many more requests wait than the allocator knows."""
-        known = max(0, self._asked[account, service] - self._granted)
-        if known < MOST_WAITING_REPORTED and count >= max(1, 2 * known):
+    def check_backlog(self, account: bytes, service: bytes, count: int) -> None:
+        """Request an urgent report if twice as many requests wait as the allocator knows."""
+        known = max(0, self._reported_waiting[account, service] - self._granted_since_report)
+        if known < MAX_WAITING_REPORTED and count >= max(1, 2 * known):
             self.urgent = True
 
     def poll(self, now: float) -> None:
-        """Send a report where one is due."""
+        """Send a report if one is due; after the end of the lease begin a new session."""
         if self._members_changed:
             self._choose_allocator()
-        if self._lease and not self._held.valid(now):
-            self._held.lapse()
-            self.told.clear()
+        if self._lease and not self._held.is_valid(now):
+            self._held.clear_limits()
+            self.remote.clear()
             self._lease = 0.0
             self.begin_session()
-        if self._due(now) and (self._reports_to_itself or self._pacer.allows(now)):
+        if self._is_due(now) and (self._reports_to_itself or self._budget.allows(now)):
             self._report(now)
 
     def begin_session(self) -> None:
-        """Start over: the next report says everything."""
+        """Begin a new session, whose first report is complete."""
         self._session = ShareSession(self._session.number + 1)
-        self._asked.clear()
+        self._reported_waiting.clear()
         self._sent_at = float("-inf")
         self._unanswered_since = None
 
     def is_session(self, number: int) -> bool:
-        """Tell whether a session is the current one."""
+        """Return whether a session is the current one."""
         return number == self._session.number
 
     def accept(self, reply: ShareReply, now: float) -> bool:
-        """Take in a reply; false where it is late or doubled."""
+        """Apply a reply; return false if it is late or a duplicate."""
         deadline = self._session.accept(reply)
         if deadline is None:
             return False
         self._unanswered_since = None
         self._lease = reply.lease_ms / 1000
         self._held.lease_until = max(self._held.lease_until, deadline)
-        self.told.accept(reply, now)
-        self._levels.tell(reply.offsets)
+        self.remote.accept(reply, now)
+        self._levels.set_offsets(reply.offsets)
         for target, limit in reply.limits.items():
-            self._granted += max(0, limit - self._held.limit(target))
+            self._granted_since_report += max(0, limit - self._held.limit(target))
             self._held.set_limit(target, limit)
         return True
 
@@ -127,7 +134,7 @@
     def _reports_to_itself(self) -> bool:
         return self._allocator == self._members.own.name
 
-    def _note_members(self) -> None:
+    def _mark_members_changed(self) -> None:
         self._members_changed = True
 
     def _choose_allocator(self) -> None:
@@ -137,34 +144,34 @@
             self._allocator = allocator
             self.begin_session()
 
-    def _due(self, now: float) -> bool:
+    def _is_due(self, now: float) -> bool:
         since = now - self._sent_at
         if not self._session.opened:
-            return since >= OPENING_GAP
-        if self.urgent and since >= urgent_gap(self._lease):
+            return since >= OPEN_RETRY_INTERVAL
+        if self.urgent and since >= urgent_report_interval(self._lease):
             return True
         if since >= self._lease / RENEWALS_PER_LEASE:
             return True
-        if since < max(LEAST_GAP, urgent_gap(self._lease)):
+        if since < max(MIN_INTERVAL, urgent_report_interval(self._lease)):
             return False
-        return self._changed(now, much=since < report_gap(self._lease))
+        return self._changed(now, large_only=since < report_interval(self._lease))
 
-    def _changed(self, now: float, *, much: bool) -> bool:
-        """Tell whether something changed, or changed so ``much``, that it is worth a report."""
+    def _changed(self, now: float, *, large_only: bool) -> bool:
+        """Return whether a change is worth a report; ``large_only`` looks at large ones alone."""
         session = self._session
         for account, report in self._accounts(now).items():
-            told = session.accounts.get(account)
-            if told is None:
+            sent = session.accounts.get(account)
+            if sent is None:
                 return True
-            if abs(told.service - report.service) > MUCH_PART * self.told.margin:
+            if abs(sent.served - report.served) > LARGE_CHANGE_FRACTION * self.remote.margin:
                 return True
-            if much:
+            if large_only:
                 continue
-            if told.service != report.service or told.running != report.running:
+            if sent.served != report.served or sent.running != report.running:
                 return True
-            if told.waiting.keys() != report.waiting.keys():
+            if sent.waiting.keys() != report.waiting.keys():
                 return True
-        if much:
+        if large_only:
             return False
         slots = self._held.report(session.slots)
         return any(session.slots.get(target) != slot for target, slot in slots.items())
@@ -173,55 +180,57 @@
         report = self._session.make_report(
             self._accounts(now),
             self._held.report(self._session.slots),
-            floor=self._floor(now),
+            min_level=self._min_level(now),
             now=now,
         )
-        self._note_asked(report)
-        self._granted = 0
+        self._record_reported(report)
+        self._granted_since_report = 0
         self.urgent = False
         self._sent_at = now
         if self._unanswered_since is None:
             self._unanswered_since = now
-        elif now - self._unanswered_since >= max(SUSPICION_TIMEOUT, SUSPICION_PART * self._lease):
+        elif now - self._unanswered_since >= max(
+            SUSPICION_TIMEOUT, SUSPICION_LEASE_FRACTION * self._lease
+        ):
             self._members.suspect(self._allocator)
-        self._pacer.spend(self._send(self._allocator, report))
+        self._budget.spend(self._send(self._allocator, report))
 
-    def _floor(self, now: float) -> int:
-        return round(self.told.floor(now)) if self.told.known else UNKNOWN_LEVEL
+    def _min_level(self, now: float) -> int:
+        return round(self.remote.min_level(now)) if self.remote.known else UNKNOWN_LEVEL
 
-    def _note_asked(self, report: ShareReport) -> None:
+    def _record_reported(self, report: ShareReport) -> None:
         for account, entry in report.accounts.items():
             for service, waiting in entry.waiting.items():
-                self._asked[account, service] = waiting.count
+                self._reported_waiting[account, service] = waiting.count
 
     def _accounts(self, now: float) -> dict[bytes, AccountReport]:
         waiting = self._waiting(now)
         accounts = set(self._levels.active) | set(self._session.accounts)
         return {account: self._account(account, waiting.get(account, {})) for account in accounts}
 
-    def _waiting(self, now: float) -> dict[bytes, dict[bytes, Waiting]]:
-        found: dict[bytes, dict[bytes, Waiting]] = {}
+    def _waiting(self, now: float) -> dict[bytes, dict[bytes, BacklogReport]]:
+        found: dict[bytes, dict[bytes, BacklogReport]] = {}
         for service in self._queues.services:
-            queues = self._queues.of(service)
+            queues = self._queues.for_service(service)
             assert queues is not None
             for name in queues.accounts:
                 head = queues.head(name)
-                found.setdefault(short_id(name), {})[short_id(service)] = Waiting(
-                    min(queues.length(name), MOST_WAITING_REPORTED),
+                found.setdefault(short_id(name), {})[short_id(service)] = BacklogReport(
+                    min(queues.length(name), MAX_WAITING_REPORTED),
                     round(head.estimate / head.account.weight),
-                    self._overdue.applies(head, now),
+                    self._starvation.is_starved(head, now),
                 )
         return found
 
-    def _account(self, account: bytes, waiting: dict[bytes, Waiting]) -> AccountReport:
+    def _account(self, account: bytes, waiting: dict[bytes, BacklogReport]) -> AccountReport:
         before = self._session.accounts.get(account)
-        service = self._levels.service(account)
+        served = self._levels.served(account)
         known = self._levels.known_level(account)
         running = account in self._levels.active
         if before is None:
-            return AccountReport(service, known, running, waiting)
-        # The level matters in the first report only, which rebuilds an allocator.
-        known = KNOWN_SINCE_BEFORE if self._session.knows(account) else before.known_level
-        if abs(service - before.service) < REPORTED_PART * self.told.margin:
-            service = before.service
-        return AccountReport(service, known, running, waiting)
+            return AccountReport(served, known, running, waiting)
+        # The level is used from the first report only, to rebuild the state of a new allocator.
+        known = LEVEL_ACKNOWLEDGED if self._session.is_acknowledged(account) else before.known_level
+        if abs(served - before.served) < REPORTED_CHANGE_FRACTION * self.remote.margin:
+            served = before.served
+        return AccountReport(served, known, running, waiting)
--- a/packages/loomyard-router/src/loomyard_router/shares/reporting_router.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/reporting_router.py
@@ -1,4 +1,4 @@
-"""One router that reports to the allocator, as the allocator sees it."""
+"""State of one reporting router at the allocator."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 from loomyard_router.members.membership import Member
 from loomyard_router.shares.changed_values import ChangedValues
-from loomyard_router.shares.lease_terms import IDLE_LEASE
-from loomyard_router.shares.messages import AccountReport, Elsewhere, ShareReply
+from loomyard_router.shares.lease_terms import IDLE_LEASE_SECONDS
+from loomyard_router.shares.messages import AccountReport, RemoteLowest, ShareReply
 from loomyard_router.shares.slot_lease import SlotLease
 
 if TYPE_CHECKING:
-    from loomyard_router.shares.floor_level import FloorLevel
     from loomyard_router.shares.messages import ShareReport
+    from loomyard_router.shares.min_level import MinLevel
 
-# A report without news is answered after this part of the lease.
-RENEWAL_PART = 0.3
-# Levels that moved by less than this part of the margin are not told.
-TOLD_PART = 0.125
+# A report is answered after this fraction of the lease, if there is nothing new to send.
+RENEWAL_FRACTION = 0.3
+# Changes of levels by less than this fraction of the margin are not sent.
+SENT_CHANGE_FRACTION = 0.125
 
 
 @define
 class PendingGrant:
-    """A slot granted for a demand by a reply that is not acknowledged yet."""
+    """A slot granted for a demand by the reply number ``reply``, not acknowledged yet."""
 
     reply: int
     account: bytes
@@ -35,16 +35,20 @@
 
 @define(eq=False)
 class ReportingRouter:
-    """What a router reported in a session and what was replied."""
+    """What a router reported in a session, and what the replies to it contained.
+
+    ``leases_sent`` are lease durations in seconds by reply number; ``acknowledged`` is the last
+    reply that the router applied; times are monotonic seconds of the allocator.
+    """
 
     member: Member
     session: int
     sequence: int = 0
-    heard_at: float = 0.0
-    promised: dict[int, float] = field(factory=lambda: {0: IDLE_LEASE})
+    last_report_at: float = 0.0
+    leases_sent: dict[int, float] = field(factory=lambda: {0: IDLE_LEASE_SECONDS})
     reply_sequence: int = 0
     acknowledged: int = 0
-    unanswered: bool = False
+    report_unanswered: bool = False
     reply_due: bool = False
     urgent: bool = False
     replied_at: float = float("-inf")
@@ -52,8 +56,8 @@
     leases: dict[bytes, SlotLease] = field(factory=dict)
     pending: list[PendingGrant] = field(factory=list)
     offsets: ChangedValues[bytes, int] = field(factory=ChangedValues)
-    lowest: ChangedValues[bytes, Elsewhere | None] = field(factory=ChangedValues)
-    lowest_told_at: dict[bytes, float] = field(factory=dict)
+    lowest: ChangedValues[bytes, RemoteLowest | None] = field(factory=ChangedValues)
+    lowest_sent_at: dict[bytes, float] = field(factory=dict)
     limits: ChangedValues[bytes, int] = field(factory=ChangedValues)
 
     @property
@@ -62,98 +66,106 @@
 
     @property
     def source(self) -> tuple[str, int]:
-        """Return what tells this start of the router from others."""
+        """Return the name and incarnation, which identify one start of the router."""
         return self.member.name, self.member.incarnation
 
     @property
     def next_reply(self) -> int:
-        """Return the number of the reply to come."""
+        """Return the sequence number of the next reply."""
         return self.reply_sequence + 1
 
     def lease(self, target: bytes) -> SlotLease:
-        """Return the slots of a target at this router."""
+        """Return the lease on slots of a target, an empty one if there is none."""
         return self.leases.setdefault(target, SlotLease())
 
     @property
     def longest_lease(self) -> float:
-        """Return the longest lease, in seconds, that the router may go by."""
-        return max(self.promised.values())
+        """Return the longest lease, in seconds, that the router may rely on."""
+        return max(self.leases_sent.values())
 
     def granted(self, target: bytes) -> int:
-        """Return how many slots of a target the router may keep."""
+        """Return how many slots of a target the router may hold."""
         lease = self.leases.get(target)
         return lease.granted if lease else 0
 
     def spread_rank(self, target: bytes) -> int:
-        """Return an order of routers that differs from target to target."""
+        """Return a hash that ranks routers in a different order for each target."""
         return crc32(target + self.name.encode())
 
-    def hear(self, report: ShareReport, now: float) -> None:
-        """Take in the numbers of a report."""
+    def record_report(self, report: ShareReport, now: float) -> None:
+        """Record the arrival of a report and the reply that it acknowledges."""
         self.sequence = report.sequence
-        self.heard_at = now
-        self.unanswered = True
-        # What was never sent from here can't be acknowledged.
+        self.last_report_at = now
+        self.report_unanswered = True
+        # A reply that was never sent from here can't be acknowledged.
         acknowledged = min(report.acknowledged, self.reply_sequence)
         self.acknowledged = max(self.acknowledged, acknowledged)
-        # A reply that is superseded no longer binds.
-        superseded = [number for number in self.promised if number < self.acknowledged]
+        # The leases of earlier replies are superseded by that of the acknowledged one.
+        superseded = [number for number in self.leases_sent if number < self.acknowledged]
         for number in superseded:
-            del self.promised[number]
+            del self.leases_sent[number]
 
-    def make_reply(self, *, lease: float, floor: FloorLevel, margin: int) -> ShareReply:
-        """Make the reply with all that the router may not know."""
+    def make_reply(self, *, lease: float, min_level: MinLevel, margin: int) -> ShareReply:
+        """Return the next reply, with all changes that the router has not acknowledged."""
         self.reply_sequence += 1
-        self.promised[self.reply_sequence] = lease
-        self.unanswered = self.reply_due = self.urgent = False
-        limits = self.limits.since(self.acknowledged)
+        self.leases_sent[self.reply_sequence] = lease
+        self.report_unanswered = self.reply_due = self.urgent = False
+        limits = self.limits.changed_since(self.acknowledged)
         for target in limits.keys() & self.leases.keys():
-            self.leases[target].told_in = self.reply_sequence
+            self.leases[target].sent_in = self.reply_sequence
         return ShareReply(
             session=self.session,
             sequence=self.reply_sequence,
             acknowledged=self.sequence,
             lease_ms=round(lease * 1000),
-            floor=round(floor.value),
-            floor_rate=round(floor.rate),
+            min_level=round(min_level.value),
+            min_level_rate=round(min_level.rate),
             margin=margin,
-            offsets=self.offsets.since(self.acknowledged),
-            lowest=self.lowest.since(self.acknowledged),
+            offsets=self.offsets.changed_since(self.acknowledged),
+            lowest=self.lowest.changed_since(self.acknowledged),
             limits=limits,
         )
 
-    def tell_lowest(self, service: bytes, lowest: Elsewhere | None, now: float) -> None:
-        """Tell of the neediest elsewhere where that differs from what the router goes by."""
-        told = self.lowest.get(service)
-        if told is not None and lowest is not None:
-            carried = told.level + told.rate * (now - self.lowest_told_at[service])
-            if abs(carried - lowest.level) < TOLD_PART * min(told.margin, lowest.margin):
+    def set_lowest(self, service: bytes, lowest: RemoteLowest | None, now: float) -> None:
+        """Set the lowest level at other routers, if it differs from what the router expects.
+
+        The router extrapolates the level at the rate that it received.
+        """
+        sent = self.lowest.get(service)
+        if sent is not None and lowest is not None:
+            expected = sent.level + sent.rate * (now - self.lowest_sent_at[service])
+            if abs(expected - lowest.level) < SENT_CHANGE_FRACTION * min(
+                sent.margin, lowest.margin
+            ):
                 return
         if self.lowest.set(service, lowest, self.next_reply):
-            self.lowest_told_at[service] = now
+            self.lowest_sent_at[service] = now
             self.reply_due = True
-            self.urgent |= told is None
+            self.urgent |= sent is None
 
-    def carry_lowest(self, now: float) -> None:
-        """Bring to the present what is sent again, as the router goes by when it hears it."""
-        for service, lowest in self.lowest.since(self.acknowledged).items():
+    def extrapolate_lowest(self, now: float) -> None:
+        """Extrapolate unacknowledged lowest levels to now, since the router counts from receipt."""
+        for service, lowest in self.lowest.changed_since(self.acknowledged).items():
             if lowest is not None:
-                grown = lowest.rate * (now - self.lowest_told_at[service])
-                carried = evolve(lowest, level=lowest.level + round(grown))
-                self.lowest.set(service, carried, self.next_reply)
-                self.lowest_told_at[service] = now
+                grown = lowest.rate * (now - self.lowest_sent_at[service])
+                extrapolated = evolve(lowest, level=lowest.level + round(grown))
+                self.lowest.set(service, extrapolated, self.next_reply)
+                self.lowest_sent_at[service] = now
 
-    def is_due(self, now: float, gap: float) -> bool:
-        """Tell whether to reply: for news after a gap, else only in time to renew the lease."""
+    def is_due(self, now: float, interval: float) -> bool:
+        """Return whether to reply: changes after ``interval`` seconds, else to renew the lease."""
         since = now - self.replied_at
-        return self.urgent or (self.reply_due and since >= gap) or self.must_renew(now)
+        return self.urgent or (self.reply_due and since >= interval) or self.renewal_due(now)
 
-    def must_renew(self, now: float) -> bool:
-        """Tell whether a reply is needed to renew the lease."""
-        return self.unanswered and now - self.replied_at >= RENEWAL_PART * self.longest_lease
+    def renewal_due(self, now: float) -> bool:
+        """Return whether a reply is needed to renew the lease."""
+        return (
+            self.report_unanswered
+            and now - self.replied_at >= RENEWAL_FRACTION * self.longest_lease
+        )
 
-    def take_slots(self, report: ShareReport) -> bool:
-        """Take over what a report says of slots; true where some came free."""
+    def apply_slots(self, report: ShareReport) -> bool:
+        """Apply the slots of a report; return whether some of them became free."""
         self.pending = [grant for grant in self.pending if grant.reply > report.acknowledged]
         before = self._committed()
         for target, slot in report.slots.items():
@@ -161,29 +173,29 @@
             lease.limit, lease.excess = slot.limit, slot.excess
         for target, lease in list(self.leases.items()):
             if lease.acknowledge(report.acknowledged):
-                self.limits.adopt(target, lease.granted)
+                self.limits.set_acknowledged(target, lease.granted)
             if not lease.committed:
                 del self.leases[target]
-                self.limits.drop(target)
+                self.limits.remove(target)
         return self._committed() < before
 
-    def adopt_slots(self, report: ShareReport) -> None:
-        """Take over the slots that a router keeps as it begins a session."""
+    def restore_slots(self, report: ShareReport) -> None:
+        """Adopt the slots that a router holds when it begins a session."""
         for target, slot in report.slots.items():
             self.leases[target] = SlotLease(
                 granted=slot.limit, limit=slot.limit, excess=slot.excess
             )
-            self.limits.adopt(target, slot.limit)
+            self.limits.set_acknowledged(target, slot.limit)
 
     def grant(self, target: bytes, slots: int, *, urgent: bool = True) -> None:
-        """Let the router keep a number of slots of a target from the next reply on."""
-        self.lease(target).change(slots, self.next_reply)
+        """Set how many slots of a target the router may hold from the next reply on."""
+        self.lease(target).set_granted(slots, self.next_reply)
         self.limits.set(target, slots, self.next_reply)
         self.reply_due = True
         self.urgent |= urgent
 
     def count_pending(self) -> Counter[tuple[bytes, bytes]]:
-        """Count the slots granted to accounts and services and not acknowledged yet."""
+        """Return the number of unacknowledged slot grants by account and service."""
         return Counter((grant.account, grant.service) for grant in self.pending)
 
     def _committed(self) -> int:
--- a/packages/loomyard-router/src/loomyard_router/shares/request_queues.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/request_queues.py
@@ -1,4 +1,4 @@
-"""The queues of a router over all services, and their limits."""
+"""Bounded request queues of a router, over all services."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
     from loomyard.clock import Clock
     from loomyard_router.shares.waiting import WaitingRequest
 
-LEAST_RETRY_AFTER = 0.5
-MOST_RETRY_AFTER = 60.0
-UNKNOWN_RETRY_AFTER = 1.0
-# A refused caller returns when this part of the queue has drained.
-RETRY_AFTER_PART = 0.25
-# A deadline is refused only where the expected wait passes it by this factor.
-CLEAR_FACTOR = 2.0
+MIN_RETRY_AFTER = 0.5
+MAX_RETRY_AFTER = 60.0
+DEFAULT_RETRY_AFTER = 1.0
+# Refused callers are asked to retry when this fraction of the queue has drained.
+RETRY_AFTER_FRACTION = 0.25
+# A request is refused for its deadline only if the expected wait is this many times as long.
+DEADLINE_MISS_FACTOR = 2.0
 
 
 class RequestQueues:
-    """Queues by service and account, bounded; work that clearly cannot be in time is refused."""
+    """Queues by service and account; refuse requests beyond a limit or clearly too late."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -36,20 +36,20 @@
 
     @property
     def services(self) -> list[str]:
-        """Return the services for which requests wait."""
+        """Return the names of the services for which requests wait."""
         return list(self._services)
 
-    def of(self, service: str) -> AccountQueues | None:
-        """Return the queues of a service, ``None`` where nothing waits."""
+    def for_service(self, service: str) -> AccountQueues | None:
+        """Return the queues of a service, ``None`` if no request waits."""
         return self._services.get(service)
 
     def length(self, service: str, account: str) -> int:
-        """Return how many requests of an account wait for a service."""
+        """Return the number of requests of an account that wait for a service."""
         queues = self._services.get(service)
         return queues.length(account) if queues else 0
 
     def push(self, waiting: WaitingRequest) -> Result[None, Fault]:
-        """Add a request.
+        """Append a request to the queue of its service and account.
 
         Errors: ``QUEUE_FULL``, ``DEADLINE_UNREACHABLE``, both with ``retry_after``.
         """
@@ -57,28 +57,28 @@
         length = self.length(service, account)
         drain = self._drains[service, account]
         if length >= waiting.account.queue_limit:
-            detail = f"{length} requests wait already"
+            detail = f"queue full: {length} requests of the client account wait already"
             return _refuse(ResultCode.QUEUE_FULL, detail, _retry_after(drain, length))
-        expected = drain.seconds(length + 1)
-        if drain.known and expected > CLEAR_FACTOR * (waiting.deadline - self._clock.now()):
-            detail = f"the queue takes about {expected:.1f} s"
+        expected = drain.expected_seconds(length + 1)
+        if drain.known and expected > DEADLINE_MISS_FACTOR * (waiting.deadline - self._clock.now()):
+            detail = f"expected queue wait of {expected:.1f} s is too long for the deadline"
             return _refuse(ResultCode.DEADLINE_UNREACHABLE, detail, _retry_after(drain, length))
         if not length:
-            drain.begin(self._clock.now())
+            drain.restart(self._clock.now())
         self._services.setdefault(service, AccountQueues()).push(waiting)
         return Ok(None)
 
     def pop(self, service: str, account: str) -> WaitingRequest:
-        """Take the oldest request of an account for a service."""
+        """Remove and return the oldest request of an account for a service."""
         queues = self._services[service]
         waiting = queues.pop(account)
-        self._drains[service, account].note(self._clock.now())
+        self._drains[service, account].record_admission(self._clock.now())
         if not len(queues):
             del self._services[service]
         return waiting
 
     def remove(self, waiting: WaitingRequest) -> bool:
-        """Take a request out; false where it is not there."""
+        """Remove a request; return false if it is not queued."""
         service = waiting.service.metadata.name
         queues = self._services.get(service)
         if queues is None or not queues.remove(waiting):
@@ -90,9 +90,9 @@
 
 def _retry_after(drain: DrainRate, length: int) -> float:
     if not drain.known:
-        return UNKNOWN_RETRY_AFTER
-    seconds = drain.seconds(length) * RETRY_AFTER_PART
-    return min(MOST_RETRY_AFTER, max(LEAST_RETRY_AFTER, seconds))
+        return DEFAULT_RETRY_AFTER
+    seconds = drain.expected_seconds(length) * RETRY_AFTER_FRACTION
+    return min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, seconds))
 
 
 def _refuse(code: ResultCode, detail: str, retry_after: float) -> Err[Fault]:
--- a/packages/loomyard-router/src/loomyard_router/shares/share_sender.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/share_sender.py
@@ -1,4 +1,4 @@
-"""The sending of the messages of the ``fleet`` policy."""
+"""Sending of the messages of the ``fleet`` policy."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ShareSender:
-    """Send messages to other routers; ``deliver`` takes those to this router itself at once."""
+    """Send messages to routers; those to this router itself go to ``deliver`` synchronously."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self._deliver = deliver
 
     def send(self, to: str, message: ShareMessage) -> int:
-        """Send a message and return its bytes, 0 where it stays here."""
+        """Send a message to a router by name; return its size in bytes, 0 to this router itself."""
         own = self._members.own
         if to == own.name:
             self._deliver(own, message)
--- a/packages/loomyard-router/src/loomyard_router/shares/share_session.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/share_session.py
@@ -1,4 +1,4 @@
-"""The exchange of one router with the allocator."""
+"""Session of one router with the allocator."""
 
 from __future__ import annotations
 
@@ -12,12 +12,16 @@
 
     from loomyard_router.shares.messages import ShareReply
 
+# Send times kept, to compute lease deadlines; a reply to an older report extends no lease.
 REMEMBERED_REPORTS = 64
 NO_SLOTS = SlotReport(0, 0)
 
 
 class ShareSession:
-    """Number reports and replies; a new one begins with each allocator and after each lapse."""
+    """Sequence numbers and unacknowledged changes of the reports to one allocator.
+
+    A new session begins with each new allocator and after each lapse of the lease.
+    """
 
     def __init__(self, number: int) -> None:
         self.number = number
@@ -30,37 +34,37 @@
 
     @property
     def next_report(self) -> int:
-        """Return the number of the report to come."""
+        """Return the sequence number of the next report."""
         return self._sequence + 1
 
     @property
     def opened(self) -> bool:
-        """Tell whether the allocator has answered in this session."""
+        """Return whether the allocator has answered in this session."""
         return self._baseline > 0
 
-    def knows(self, account: bytes) -> bool:
-        """Tell whether the allocator has acknowledged an entry of an account."""
+    def is_acknowledged(self, account: bytes) -> bool:
+        """Return whether the allocator has acknowledged the current entry of an account."""
         return self.accounts.sequence(account) <= self._baseline
 
     def prune(self) -> None:
-        """Forget acknowledged entries that say nothing any more."""
+        """Remove acknowledged entries of accounts and targets that are no longer in use."""
         for account in list(self.accounts):
             entry = self.accounts.get(account)
-            if entry and not entry.running and not entry.waiting and self.knows(account):
-                self.accounts.drop(account)
+            if entry and not entry.running and not entry.waiting and self.is_acknowledged(account):
+                self.accounts.remove(account)
         for target in list(self.slots):
             if self.slots.get(target) == NO_SLOTS and self.slots.sequence(target) <= self._baseline:
-                self.slots.drop(target)
+                self.slots.remove(target)
 
     def make_report(
         self,
         accounts: Mapping[bytes, AccountReport],
         slots: Mapping[bytes, SlotReport],
         *,
-        floor: int,
+        min_level: int,
         now: float,
     ) -> ShareReport:
-        """Make the report of all that changed since what the allocator acknowledged."""
+        """Return a report of all changes that the allocator has not acknowledged."""
         self.prune()
         number = self.next_report
         for account, value in accounts.items():
@@ -75,13 +79,13 @@
             sequence=number,
             acknowledged=self.acknowledged,
             baseline=self._baseline,
-            floor=0 if self.opened else floor,
-            accounts=self.accounts.since(self._baseline),
-            slots=self.slots.since(self._baseline),
+            min_level=0 if self.opened else min_level,
+            accounts=self.accounts.changed_since(self._baseline),
+            slots=self.slots.changed_since(self._baseline),
         )
 
     def accept(self, reply: ShareReply) -> float | None:
-        """Take in a reply; return its lease deadline, ``None`` where it is late or doubled."""
+        """Record a reply; return its lease deadline, ``None`` if it is late or a duplicate."""
         if reply.session != self.number or reply.sequence <= self.acknowledged:
             return None
         self.acknowledged = reply.sequence
--- a/packages/loomyard-router/src/loomyard_router/shares/short_ids.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/short_ids.py
@@ -1,4 +1,4 @@
-"""Short identifiers of names in messages between routers."""
+"""Short identifiers for names in messages between routers."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 @lru_cache(maxsize=CACHED_NAMES)
 def short_id(name: str) -> bytes:
-    """Return the identifier of a name.
+    """Return the identifier of a name, a hash of ``SHORT_ID_BYTES`` bytes.
 
-    Of 31,000 accounts two share one with a probability of 1 in 2,300.
+    Among 31,000 accounts, the probability of any collision is 1 in 2,300.
     """
     return blake2s(name.encode(), digest_size=SHORT_ID_BYTES).digest()
--- a/packages/loomyard-router/src/loomyard_router/shares/overdue_recall.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/starvation_recall.py
@@ -1,4 +1,4 @@
-"""Recall slots for overdue requests at routers that hold none."""
+"""Recall of slots for starved requests at routers that hold none."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
     from loomyard_router.shares.demands import Demand, Demands
     from loomyard_router.shares.reporting_router import ReportingRouter
 
-# One slot at most is recalled for an account and service in this time.
-RECALL_GAP = 2.0
+# Minimum seconds between two slots recalled for one account and service.
+RECALL_INTERVAL = 2.0
 
 
-class OverdueRecall:
-    """Take one slot from the router with the most, so that no account waits without bound."""
+class StarvationRecall:
+    """Take one slot from the router that holds the most, so that no account waits indefinitely."""
 
     def __init__(self) -> None:
         self._recalled_at: dict[tuple[bytes, bytes], float] = {}
@@ -28,11 +28,11 @@
         capacity: Capacity,
         now: float,
     ) -> None:
-        """Recall what overdue demands need."""
+        """Recall a slot for each starved demand whose router holds none that it may use."""
         holders = list(routers)
         for found in demands.by_service.values():
             for demand in found:
-                if demand.overdue and demand.unmet > 0:
+                if demand.starved and demand.unmet > 0:
                     self._recall(demand, holders, capacity, now)
 
     def _recall(
@@ -42,7 +42,7 @@
         targets = capacity.targets(demand.account, demand.service)
         if not targets or any(demand.router.granted(target) for target in targets):
             return
-        if now < self._recalled_at.get(key, float("-inf")) + RECALL_GAP:
+        if now < self._recalled_at.get(key, float("-inf")) + RECALL_INTERVAL:
             return
         held = [(holder.granted(t), holder.name, t, holder) for holder in holders for t in targets]
         slots, _, target, holder = max(held, key=lambda item: item[:3])
--- a/packages/loomyard-router/src/loomyard_router/shares/waiting.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/waiting.py
@@ -1,4 +1,4 @@
-"""A request that waits for a slot."""
+"""Requests that wait for a slot."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 class WaitingRequest:
     """A request that waits for a slot.
 
-    ``estimate`` is in the units of the service; ``enqueued_at`` and ``deadline`` are in seconds
-    of the monotonic clock. ``prefix`` names the prompt prefix for cache locality. ``admitted``
-    gets the ``Admission``, or a ``Fault`` where the policy gives the request up.
+    ``estimate`` is its cost in the units of the service; ``enqueued_at`` and ``deadline`` are in
+    seconds of the monotonic clock. ``prefix`` identifies the prompt prefix for cache locality.
+    ``admitted`` receives the ``Admission``, or a ``Fault`` if the request is refused later.
     """
 
     request_id: str
@@ -34,7 +34,7 @@
         return self._index()
 
     def retarget(self, targets: tuple[Target, ...]) -> None:
-        """Let the request be admitted to other targets; it keeps its place."""
+        """Replace the targets to which the request may be admitted; it keeps its queue position."""
         self.targets = targets
         self.targets_by_id = self._index()
 
--- a/tests/test_loomyard_router/test_local_policy.py
+++ b/tests/test_loomyard_router/test_local_policy.py
@@ -16,7 +16,7 @@
 
 
 class LocalPolicyTest(unittest.TestCase):
-    def test_the_parts_of_all_routers_are_the_slots_and_none_goes_without(self) -> None:
+    def test_shares_of_all_routers_add_up_to_the_slots_and_are_equal(self) -> None:
         account = ClientAccount(metadata=Metadata(name="kiosk"))
         service = Service(metadata=Metadata(name="assistant"))
         targets = [
@@ -30,7 +30,7 @@
         ]
         puts = [Put(object=item) for item in (account, service, *targets)]
         state, _ = fold(ConfigState(), 0, Change(change_id="c", puts=puts))
-        taken: Counter[str] = Counter()
+        admitted_by_target: Counter[str] = Counter()
         for position in range(ROUTERS):
             policy = make_local_policy(FakeClock(), position=position, routers=ROUTERS)
             policy.reconfigure(Routing(state))
@@ -50,8 +50,8 @@
                 policy.submit(request).unwrap()
             admitted = [request.admitted.get() for request in requests if request.admitted.ready()]
             self.assertEqual(len(admitted), len(targets) * SLOTS // ROUTERS)
-            taken.update(admission.target.metadata.name for admission in admitted)
-        self.assertEqual(set(taken.values()), {SLOTS})
+            admitted_by_target.update(admission.target.metadata.name for admission in admitted)
+        self.assertEqual(set(admitted_by_target.values()), {SLOTS})
 
 
 if __name__ == "__main__":
--- a/tests/test_loomyard_router/test_shares/test_capacity.py
+++ b/tests/test_loomyard_router/test_shares/test_capacity.py
@@ -16,7 +16,7 @@
 
 
 class AllTargets:
-    """Let every target be used."""
+    """A directory in which every target accepts work."""
 
     def may_send(self, name: str, service: str = "") -> bool:
         return True
@@ -44,13 +44,13 @@
         service = short_id("assistant")
         return "".join(name for name in "abc" if self.capacity.targets(short_id(name), service))
 
-    def test_follows_changes_of_accounts(self) -> None:
+    def test_added_changed_and_deleted_accounts_are_applied(self) -> None:
         self.assertEqual(self.allowed(), "ab")
         self.change([account("c", "gold"), account("a", "iron")], [account("b", "gold")])
         self.capacity.reconfigure(self.routing)
         self.assertEqual(self.allowed(), "c")
 
-    def test_a_version_that_was_missed_loses_no_change(self) -> None:
+    def test_changes_of_a_skipped_version_are_applied(self) -> None:
         self.change([account("c", "gold")], [account("b", "gold")])
         self.change([account("a", "iron")], [])
         self.capacity.reconfigure(self.routing)
--- a/tests/test_loomyard_router/test_shares/test_request_queues.py
+++ b/tests/test_loomyard_router/test_shares/test_request_queues.py
@@ -1,4 +1,4 @@
-"""Tests of queue limits, early refusals and the floor by age."""
+"""Tests of queue limits, early refusals and starved requests."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from loomyard.errors import Executed, ResultCode
 from loomyard.objects import ClientAccount, Metadata, Service, Target
-from loomyard_router.shares.overdue import OVERDUE_AFTER, Overdue
 from loomyard_router.shares.request_queues import RequestQueues
+from loomyard_router.shares.starvation_tracker import STARVATION_LIMIT, StarvationTracker
 from loomyard_router.shares.waiting import WaitingRequest
 from loomyard_standins.fake_clock import FakeClock
 
@@ -41,7 +41,7 @@
             self.clock.advance(interval)
             self.queues.pop("s", "flood")
 
-    def test_full_queue_refuses_by_its_drain_rate(self) -> None:
+    def test_full_queue_refuses_with_retry_after_from_its_drain_rate(self) -> None:
         self.fill_and_drain(2.0)
         for _ in range(10):
             self.queues.push(self.waiting(seconds=1e6)).unwrap()
@@ -58,19 +58,19 @@
         self.queues.push(self.waiting(seconds=15.0)).unwrap()
         self.queues.push(self.waiting(KIOSK, seconds=0.5)).unwrap()
 
-    def test_nothing_is_refused_on_a_guess(self) -> None:
+    def test_deadlines_are_not_checked_before_the_drain_rate_is_known(self) -> None:
         for _ in range(19):
             self.queues.push(self.waiting(seconds=0.1)).unwrap()
 
-    def test_only_an_account_without_any_admission_is_overdue(self) -> None:
-        overdue = Overdue()
+    def test_only_an_account_without_recent_admission_is_starved(self) -> None:
+        tracker = StarvationTracker()
         first, second = self.waiting(KIOSK), self.waiting(FLOOD)
-        self.clock.advance(OVERDUE_AFTER - 1.0)
-        self.assertFalse(overdue.applies(first, self.clock.now()))
-        overdue.note(second, self.clock.now())
+        self.clock.advance(STARVATION_LIMIT - 1.0)
+        self.assertFalse(tracker.is_starved(first, self.clock.now()))
+        tracker.record_admission(second, self.clock.now())
         self.clock.advance(1.0)
-        self.assertTrue(overdue.applies(first, self.clock.now()))
-        self.assertFalse(overdue.applies(second, self.clock.now()))
+        self.assertTrue(tracker.is_starved(first, self.clock.now()))
+        self.assertFalse(tracker.is_starved(second, self.clock.now()))
 
 
 if __name__ == "__main__":
