--- a/packages/loomyard-router/src/loomyard_router/orders/__init__.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Orders to engines, under a lease with a fencing number."""
+"""Orders that make engines load and unload models, sent under a lease with a fencing number."""
--- a/packages/loomyard-router/src/loomyard_router/orders/backlog.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/backlog.py
@@ -1,4 +1,4 @@
-"""The protocol of what waits."""
+"""Protocol of a view of the request backlog."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class BacklogView(Protocol):
-    """Know what waits, over the fleet or as much of it as this router sees."""
+    """Backlog by service, over the whole fleet or the part of it that this router sees."""
 
     def waiting(self, service: str) -> int:
-        """Return how many requests of a service wait, or were refused for want of a target."""
+        """Return how many requests of a service wait or were refused for lack of a target."""
--- a/packages/loomyard-router/src/loomyard_router/orders/combined_backlog.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/combined_backlog.py
@@ -1,4 +1,4 @@
-"""What waits, from several views."""
+"""Backlog combined from several views."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @frozen
 class CombinedBacklog:
-    """The most that any view sees; one view may contain another."""
+    """Maximum over the views; they are not summed, since one may include another."""
 
     views: tuple[BacklogView, ...]
 
     def waiting(self, service: str) -> int:
-        """Return how many requests of a service wait."""
+        """Return the largest backlog of a service in any view."""
         return max(view.waiting(service) for view in self.views)
--- a/packages/loomyard-router/src/loomyard_router/orders/paced_weights.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/fixed_rate_weight_store.py
@@ -1,4 +1,4 @@
-"""Pace loads where no weight store tells its limit."""
+"""Rate limit on model loads in place of a weight store."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 if TYPE_CHECKING:
     from loomyard.clock import Clock
 
+# Seconds.
 LOAD_INTERVAL = 10.0
 
 
-class PacedWeights:
-    """Allow one load in an interval."""
+class FixedRateWeightStore:
+    """Allow one load per ``LOAD_INTERVAL``, for fleets without a weight store."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -24,7 +25,7 @@
     def reserve(self, model: str) -> Result[float, Fault]:
         now = self._clock.now()
         if now < self._next:
-            detail = f"no load of {model!r} yet"
+            detail = f"load rate limit reached, {model!r} must wait"
             left = self._next - now
             return Err(Fault(code=ResultCode.WEIGHT_STORE_LIMITED, detail=detail, retry_after=left))
         self._next = now + LOAD_INTERVAL
--- a/packages/loomyard-router/src/loomyard_router/orders/held_lease.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/held_lease.py
@@ -1,4 +1,4 @@
-"""The lease on orders while this router holds it."""
+"""The order lease while this router holds it."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 @frozen(kw_only=True)
 class HeldLease:
-    """``since`` and ``valid_until`` are in seconds of the monotonic clock."""
+    """Fencing number and validity of the lease.
+
+    ``since`` is when this router became the holder; both times are in monotonic seconds.
+    """
 
     fencing: int
     since: float
--- a/packages/loomyard-router/src/loomyard_router/orders/lease_record.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/lease_record.py
@@ -1,4 +1,4 @@
-"""The record by which a router takes or renews the lease on orders."""
+"""Log record by which a router acquires or renews the order lease."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @frozen(kw_only=True)
 class OrderLease:
-    """A claim of the lease, written with knowledge of all records up to ``after``."""
+    """A claim to the lease by a router that had read all log records up to the offset ``after``."""
 
     holder: str
     incarnation: int
@@ -17,10 +17,10 @@
 
 
 def is_accepted(offset: int, record: OrderLease) -> bool:
-    """Tell whether the record at a log offset counts: its writer knew all before it.
+    """Return whether the claim at a log offset is accepted: its writer had read all before it.
 
-    A pure function of the record and its place, so that every reader decides the same, also one
-    that reads a trimmed stream. The holder is the writer of the latest record that counts, and
-    its offset is the fencing number.
+    This depends on the record and its offset alone, so that all readers agree, even if the stream
+    was trimmed. The holder is the writer of the latest accepted claim, whose offset is the
+    fencing number.
     """
     return record.after == offset - 1
--- a/packages/loomyard-router/src/loomyard_router/orders/local_backlog.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/local_backlog.py
@@ -1,4 +1,4 @@
-"""What waits at this router."""
+"""Backlog at this router."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
     from loomyard.clock import Clock
 
-# A refusal for want of a target counts as one that waits for some seconds, since nothing can
-# queue for a service that no target has loaded.
+# A request refused for lack of a target counts as waiting for this long, since no request can be
+# queued for a service that no target has loaded.
 REFUSAL_SECONDS = 5.0
 
 
 class LocalBacklog:
-    """Count requests that wait and remember refusals for want of a target."""
+    """Count waiting requests and recent refusals for lack of a target."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -25,12 +25,12 @@
         self._listeners: list[Callable[[str], None]] = []
 
     def waiting(self, service: str) -> int:
-        """Return how many requests of a service wait, or were refused for want of a target."""
+        """Return the number of waiting requests of a service, plus one after a recent refusal."""
         refused = self._clock.now() < self._refused_until.get(service, float("-inf"))
         return self._waiting[service] + refused
 
     def add_waiting(self, service: str) -> None:
-        """Count a request that begins to wait."""
+        """Count a request that starts to wait."""
         self._waiting[service] += 1
 
     def remove_waiting(self, service: str) -> None:
@@ -38,15 +38,15 @@
         self._waiting[service] -= 1
 
     def subscribe(self, refused: Callable[[str], None]) -> None:
-        """Call back with the service of each refusal of this router."""
+        """Call ``refused`` with the service of each refusal by this router."""
         self._listeners.append(refused)
 
     def record_refusal(self, service: str) -> None:
-        """Take in that this router refused a request since no target takes its service now."""
+        """Record that this router refused a request for lack of a target, and call subscribers."""
         self.record_remote_refusal(service)
         for listener in self._listeners:
             listener(service)
 
     def record_remote_refusal(self, service: str) -> None:
-        """Take in that some router refused a request of a service."""
+        """Record that any router refused a request of a service; subscribers are not called."""
         self._refused_until[service] = self._clock.now() + REFUSAL_SECONDS
--- a/packages/loomyard-router/src/loomyard_router/orders/order_action.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/order_action.py
@@ -1,4 +1,4 @@
-"""What an engine may be ordered to do."""
+"""Actions that an engine can be ordered to take."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class OrderAction(StrEnum):
-    """The actions; the subject is a model, an adapter with its version, or a role."""
+    """Action of an order; its subject is a model, an adapter with its version, or a role."""
 
     LOAD = "load"
     UNLOAD = "unload"
--- a/packages/loomyard-router/src/loomyard_router/orders/order_controller.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/order_controller.py
@@ -1,4 +1,4 @@
-"""The keeper of orders: watch backlog and idle targets, order what helps."""
+"""Control loop that orders idle targets to load the services with a backlog."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 from loomyard.events import Event, emit
 from loomyard.objects import Target, TargetState
+from loomyard_router.orders.fixed_rate_weight_store import FixedRateWeightStore
 from loomyard_router.orders.order_lease_manager import OrderLeaseManager
 from loomyard_router.orders.order_planner import OrderPlanner
 from loomyard_router.orders.order_sender import OrderSender
-from loomyard_router.orders.paced_weights import PacedWeights
 from loomyard_router.orders.target_view import TargetView
 from loomyard_router.shares.allocator_selection import find_allocator
 
@@ -30,12 +30,12 @@
 logger = logging.getLogger(__name__)
 
 STEP_SECONDS = 1.0
-# Bounds what the keeper reads of targets in one step.
+# Maximum number of targets whose load report is read in one step.
 MAX_OBSERVED = 16
 
 
 class OrderController:
-    """Hold the lease on orders where this router may, and order under it."""
+    """Hold the order lease if this router is the allocator, and send orders under it."""
 
     def __init__(
         self,
@@ -53,8 +53,8 @@
         self._members = members
         self._targets = targets
         self._backlog = backlog
-        self._all: list[Target] = []
-        self._ordered: list[Target] = []
+        self._all_targets: list[Target] = []
+        self._loadable_targets: list[Target] = []
         self._lease = OrderLeaseManager(clock, log, members.own)
         self._planner = OrderPlanner(clock, targets.may_send)
         self._sender = OrderSender(clock, engine, weights, self._lease)
@@ -65,22 +65,22 @@
         return self._lease
 
     def reconfigure(self, routing: Routing) -> None:
-        """Take over a configuration."""
-        self._all = list(routing.targets.values())
-        self._ordered = [target for target in self._all if target.loadable]
+        """Apply a configuration."""
+        self._all_targets = list(routing.targets.values())
+        self._loadable_targets = [target for target in self._all_targets if target.loadable]
 
     def start(self) -> None:
-        """Start the task."""
+        """Start the control loop."""
         self._task = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End the task; the lease lapses."""
+        """Stop the control loop; the lease expires."""
         if self._task is not None:
             self._task.kill()
 
     def step(self) -> None:
-        """Keep the lease; under it plan and send what is due."""
-        if not self._ordered:
+        """Acquire or renew the lease; while it is held, plan changes and send due orders."""
+        if not self._loadable_targets:
             return
         self._lease.step(candidate=self._is_candidate())
         if self._lease.held() is None:
@@ -92,13 +92,13 @@
             self._planner.plan(waiting, [])
             return
         views = self._observe(waiting)
-        read = {view.target.metadata.name for view in views}
-        unread = [t.metadata.name for t in self._all if t.metadata.name not in read]
-        self._planner.plan(waiting, views, unread)
+        observed = {view.target.metadata.name for view in views}
+        unobserved = [t.metadata.name for t in self._all_targets if t.metadata.name not in observed]
+        self._planner.plan(waiting, views, unobserved)
         for view in views:
             name = view.target.metadata.name
             service = self._planner.desired.get(name)
-            if service is not None and self._sender.work(view, service):
+            if service is not None and self._sender.advance(view, service):
                 self._planner.finish(name)
 
     def _run(self) -> None:
@@ -106,26 +106,32 @@
             try:
                 self.step()
             except Exception:
-                logger.exception("a step of the keeper of orders failed")
+                logger.exception("a step of the order control loop failed")
                 emit(logger, Event.HANDLER_FAILED, part="orders")
             self._clock.sleep(STEP_SECONDS)
 
     def _is_candidate(self) -> bool:
-        # The allocator of slots keeps the orders too: it sees what waits in the whole fleet.
+        # The allocator of slots also sends the orders, since it sees the backlog of the fleet.
         return self._members.own.name == find_allocator(self._members)
 
     def _waiting(self) -> dict[str, int]:
-        services = {s for target in self._ordered for s in (*target.services, *target.loadable)}
+        services = {
+            s for target in self._loadable_targets for s in (*target.services, *target.loadable)
+        }
         return {service: self._backlog.waiting(service) for service in services}
 
     def _observe(self, waiting: dict[str, int]) -> list[TargetView]:
-        """Read the targets under change back first, then those that might help."""
-        wanted = {service for service, count in waiting.items() if count > 0}
-        able = [t for t in self._ordered if wanted.intersection((*t.services, *t.loadable))]
+        """Read the reports of targets that are changing, then of those that could help."""
+        backlogged = {service for service, count in waiting.items() if count > 0}
+        candidates = [
+            t for t in self._loadable_targets if backlogged.intersection((*t.services, *t.loadable))
+        ]
         desired = self._planner.desired
-        able += [t for t in self._ordered if t.metadata.name in desired and t not in able]
-        able.sort(key=lambda t: (t.metadata.name not in desired, t.metadata.name))
-        views = [self._view(target) for target in able[:MAX_OBSERVED]]
+        candidates += [
+            t for t in self._loadable_targets if t.metadata.name in desired and t not in candidates
+        ]
+        candidates.sort(key=lambda t: (t.metadata.name not in desired, t.metadata.name))
+        views = [self._view(target) for target in candidates[:MAX_OBSERVED]]
         return [view for view in views if view is not None]
 
     def _view(self, target: Target) -> TargetView | None:
@@ -150,13 +156,13 @@
     weights: WeightStore | None,
     backlog: BacklogView,
 ) -> OrderController:
-    """Make the keeper of orders of a router; without a weight store loads are paced here."""
+    """Return the order controller; without a weight store, loads are limited to a fixed rate."""
     return OrderController(
         clock=clock,
         log=log,
         engine=engine,
         members=members,
         targets=targets,
-        weights=weights or PacedWeights(clock),
+        weights=weights or FixedRateWeightStore(clock),
         backlog=backlog,
     )
--- a/packages/loomyard-router/src/loomyard_router/orders/order_lease_manager.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/order_lease_manager.py
@@ -1,4 +1,4 @@
-"""Take, renew and lose the lease on orders."""
+"""Acquisition, renewal and loss of the order lease."""
 
 from __future__ import annotations
 
@@ -19,30 +19,31 @@
 
 logger = logging.getLogger(__name__)
 
+# Duration of the lease, and age at which it is renewed, in seconds.
 TERM = 10.0
 RENEW_AFTER = 3.0
-# Two monotonic clocks may differ by this part, and a sender by these seconds between check and
-# send; a successor waits for both.
+# Maximum relative difference in speed between two monotonic clocks, and maximum seconds between a
+# sender's check of the lease and its send; a successor waits for both.
 DRIFT = 0.01
 MARGIN = 1.0
 TAKEOVER_AFTER = TERM * (1 + 2 * DRIFT) + MARGIN
 
 
 class OrderLeaseManager:
-    """Follow the lease in the log; hold it where this router may and nobody else does.
+    """Follow the lease in the log; acquire it if this router is a candidate and it has expired.
 
-    The log decides alone. The term runs on this router's monotonic clock: for the holder from
-    before the append, for others from after the reading.
+    The log alone decides which router holds the lease. The term runs on this router's monotonic
+    clock: for the holder from before its append, for others from when they read the record.
     """
 
     def __init__(self, clock: Clock, log: LogService, own: Member) -> None:
         self._clock = clock
         self._log = log
         self._own = own
-        self._next = 0
+        self._next_offset = 0
         self._holder: OrderLease | None = None
         self._fencing = -1
-        self._seen_at = clock.now()
+        self._lease_read_at = clock.now()
         self._valid_until = float("-inf")
         self._held_since = float("-inf")
         self._sent_at: dict[int, float] = {}
@@ -52,7 +53,7 @@
         return None if self._holder is None else self._holder.holder
 
     def held(self, seconds: float = 0.0) -> HeldLease | None:
-        """Return the lease where it is held for some more seconds at least."""
+        """Return the lease if it is held for more than ``seconds`` from now, else ``None``."""
         if not self._is_own(self._holder) or self._clock.now() + seconds >= self._valid_until:
             return None
         return HeldLease(
@@ -60,42 +61,42 @@
         )
 
     def step(self, *, candidate: bool) -> None:
-        """Read what is new, then renew, or take over where that is due and allowed."""
+        """Read new records, then renew or take over the lease if due; only a candidate writes."""
         if not (candidate or self._is_own(self._holder)):
-            # Late reading is harmless: a takeover waits from when the last lease was read.
+            # Reading late is safe: a takeover waits from when the last lease record was read.
             return
         if not self._read():
             return
         if self._is_own(self._holder):
             if candidate and self._clock.now() >= self._valid_until - TERM + RENEW_AFTER:
                 self._append()
-        elif candidate and self._clock.now() - self._seen_at >= TAKEOVER_AFTER:
+        elif candidate and self._clock.now() - self._lease_read_at >= TAKEOVER_AFTER:
             self._append()
 
-    def drop(self) -> None:
-        """Send no more under the lease, since an engine knows a later one."""
+    def invalidate(self) -> None:
+        """Treat the lease as expired, since an engine knows a later one."""
         self._valid_until = float("-inf")
 
     def _read(self) -> bool:
         while True:
-            match self._log.read(ORDERS_STREAM, self._next):
+            match self._log.read(ORDERS_STREAM, self._next_offset):
                 case Ok(batch):
-                    self._take_batch(batch)
+                    self._apply_batch(batch)
                 case _:
                     return False
-            if self._next >= batch.end or not batch.records:
-                return self._next >= batch.end
+            if self._next_offset >= batch.end or not batch.records:
+                return self._next_offset >= batch.end
 
-    def _take_batch(self, batch: LogBatch) -> None:
-        if batch.first > self._next:
-            # What was trimmed may have been a later lease.
+    def _apply_batch(self, batch: LogBatch) -> None:
+        if batch.first > self._next_offset:
+            # The trimmed records may have contained a later lease.
             self._adopt(None, -1)
-            self._next = batch.first
+            self._next_offset = batch.first
         for record in batch.records:
-            self._take_record(record)
-            self._next = record.offset + 1
+            self._apply_record(record)
+            self._next_offset = record.offset + 1
 
-    def _take_record(self, record: LogRecord) -> None:
+    def _apply_record(self, record: LogRecord) -> None:
         match decode(record.payload, OrderLease):
             case Ok(lease) if is_accepted(record.offset, lease):
                 self._adopt(lease, record.offset)
@@ -103,27 +104,27 @@
                 emit(logger, Event.RECORD_INVALID, stream=ORDERS_STREAM, detail=detail)
 
     def _append(self) -> None:
-        after = self._next - 1
+        after = self._next_offset - 1
         record = OrderLease(holder=self._own.name, incarnation=self._own.incarnation, after=after)
-        # The first sending counts: an append whose answer was lost may be the one in the log.
+        # The term starts at the first attempt, since an append without a reply may be in the log.
         self._sent_at.setdefault(after, self._clock.now())
         match self._log.append(ORDERS_STREAM, encode(record)):
             case Ok(offset) if is_accepted(offset, record):
-                self._next = offset + 1
+                self._next_offset = offset + 1
                 self._adopt(record, offset)
 
     def _adopt(self, lease: OrderLease | None, offset: int) -> None:
-        had = self._is_own(self._holder)
+        was_own = self._is_own(self._holder)
         self._holder, self._fencing = lease, offset
-        self._seen_at = now = self._clock.now()
+        self._lease_read_at = now = self._clock.now()
         if lease is None or not self._is_own(lease):
             self._valid_until = float("-inf")
-            if had:
+            if was_own:
                 emit(logger, Event.ORDER_LEASE_LOST, holder=self.holder)
             return
         sent_at = self._sent_at.get(lease.after, float("-inf"))
         self._sent_at.clear()
-        if not had:
+        if not was_own:
             self._held_since = now
             emit(logger, Event.ORDER_LEASE_TAKEN, fencing=offset)
         self._valid_until = sent_at + TERM
--- a/packages/loomyard-router/src/loomyard_router/orders/order_sender.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/order_sender.py
@@ -1,4 +1,4 @@
-"""Bring one target to the desired service, one safe order at a time."""
+"""Sending of the orders that bring a target to its desired service."""
 
 from __future__ import annotations
 
@@ -23,12 +23,13 @@
 
 logger = logging.getLogger(__name__)
 
-# Longer than the call of an order may take; what is left of the lease must cover it.
+# Longer than the call that sends an order may take; the remaining lease must cover it.
 ORDER_SECONDS = 3.0
-# A load shows in the reports only when it is done; before that it is not ordered again.
+# Reports show a load only when it is complete; it is not ordered again for this long.
 LOAD_SECONDS = 30.0
 RETRY_SECONDS = 2.0
-DEFAULT_LIMIT_SECONDS = 5.0
+# Used if the weight store refuses a reservation without a retry time.
+DEFAULT_RESERVE_RETRY_SECONDS = 5.0
 
 
 @define(eq=False)
@@ -38,9 +39,9 @@
 
 
 class OrderSender:
-    """Send what is missing between the state read back and the desired one.
+    """Send the orders that are missing between the reported and the desired state of a target.
 
-    Each order is idempotent; an answer that was lost is settled by the next reading.
+    Each order is idempotent; after a lost answer, the next load report shows whether it ran.
     """
 
     def __init__(
@@ -53,11 +54,11 @@
         self._progress: dict[str, _Progress] = {}
 
     def clear(self) -> None:
-        """Forget what is under way."""
+        """Reset the progress of all targets."""
         self._progress.clear()
 
-    def work(self, view: TargetView, service: str) -> bool:
-        """Send the next order; tell whether the target is as desired."""
+    def advance(self, view: TargetView, service: str) -> bool:
+        """Send the next order, if one is due; return whether the target is as desired."""
         name = view.target.metadata.name
         if view.loaded == {service}:
             self._progress.pop(name, None)
@@ -66,8 +67,8 @@
         progress = self._progress.setdefault(name, _Progress())
         if self._clock.now() < progress.next_at:
             return False
-        # The share of the weight store comes first, so that no target stands empty for want of it.
-        if service not in view.loaded and not self._may_load(service, progress):
+        # Reserve at the weight store before unloading, so that no target stays empty meanwhile.
+        if service not in view.loaded and not self._reserve_load(service, progress):
             return False
         surplus = sorted(view.loaded - {service})
         if surplus:
@@ -76,12 +77,12 @@
             self._send(view.target, OrderAction.LOAD, service, progress)
         return False
 
-    def _may_load(self, service: str, progress: _Progress) -> bool:
+    def _reserve_load(self, service: str, progress: _Progress) -> bool:
         now = self._clock.now()
         if progress.load_at is None:
             match self._weights.reserve(service):
                 case Err(fault):
-                    progress.next_at = now + (fault.retry_after or DEFAULT_LIMIT_SECONDS)
+                    progress.next_at = now + (fault.retry_after or DEFAULT_RESERVE_RETRY_SECONDS)
                     return False
                 case Ok(at):
                     progress.load_at = at
@@ -94,7 +95,7 @@
         if lease is None:
             return
         if not target.checks_fencing and self._clock.now() < lease.since + ORDER_SECONDS:
-            # An order of the predecessor may still be on its way to an engine that takes it.
+            # An order of the previous holder may be in transit, and this engine would accept it.
             return
         order = EngineOrder(action=action, subject=subject, fencing=lease.fencing)
         match self._engine.order(target.url, order):
@@ -105,7 +106,7 @@
                 executed = fault.executed
                 emit(logger, Event.ORDER_FAILED, target=name, code=int(fault.code))
                 if fault.code is ResultCode.ORDER_FENCED:
-                    self._lease.drop()
+                    self._lease.invalidate()
         if action is OrderAction.LOAD and executed is not Executed.NO:
             progress.load_at = None
             progress.next_at = self._clock.now() + LOAD_SECONDS
--- a/packages/loomyard-router/src/loomyard_router/orders/refusal_notifier.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/refusal_notifier.py
@@ -1,4 +1,4 @@
-"""Tell the keeper of orders of services that requests were refused for want of."""
+"""Notification of the order controller about requests refused for lack of a target."""
 
 from __future__ import annotations
 
@@ -15,20 +15,25 @@
     from loomyard_router.orders.local_backlog import LocalBacklog
     from loomyard_router.peers.links import PeerLinks
 
-# Shorter than a refusal counts, so that a lasting want has no gaps; one may be lost.
+# Shorter than half of REFUSAL_SECONDS, so that a lasting backlog is seen without gaps even if one
+# notice is lost.
 REPEAT_SECONDS = 2.0
 
 
 @peer_message("wanted")
 @frozen(kw_only=True)
 class RefusalNotice:
-    """A request of a service was refused, since no target takes work of it."""
+    """A router refused a request, since no target accepts work for its service."""
 
     service: str
 
 
 class RefusalNotifier:
-    """Nothing queues for a service that is loaded nowhere, so refusals are told instead."""
+    """Send refusals of this router to the order controller, and record those of other routers.
+
+    Requests for a service that no target has loaded are refused instead of queued, so that the
+    controller would not see them in any backlog.
+    """
 
     def __init__(
         self, clock: Clock, members: Membership, peers: PeerLinks, backlog: LocalBacklog
@@ -38,16 +43,16 @@
         self._peers = peers
         self._backlog = backlog
         self._next_at: dict[str, float] = {}
-        backlog.subscribe(self._tell)
-        peers.handle(RefusalNotice, self._hear)
+        backlog.subscribe(self._send_notice)
+        peers.handle(RefusalNotice, self._handle_notice)
 
-    def _tell(self, service: str) -> None:
+    def _send_notice(self, service: str) -> None:
         now = self._clock.now()
-        keeper = find_allocator(self._members)
-        if keeper == self._members.own.name or now < self._next_at.get(service, now):
+        controller = find_allocator(self._members)
+        if controller == self._members.own.name or now < self._next_at.get(service, now):
             return
         self._next_at[service] = now + REPEAT_SECONDS
-        self._peers.send(keeper, RefusalNotice(service=service))
+        self._peers.send(controller, RefusalNotice(service=service))
 
-    def _hear(self, _: Member, notice: RefusalNotice) -> None:
+    def _handle_notice(self, _: Member, notice: RefusalNotice) -> None:
         self._backlog.record_remote_refusal(notice.service)
--- a/packages/loomyard-router/src/loomyard_router/orders/target_view.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/target_view.py
@@ -1,4 +1,4 @@
-"""A target as the planning of orders sees it."""
+"""State of a target for the planning of orders."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @frozen(kw_only=True)
 class TargetView:
-    """A target, its latest load report and whether it may get new work."""
+    """A target, its latest load report, and whether it accepts new work."""
 
     target: Target
     report: LoadReport
@@ -22,5 +22,5 @@
 
     @property
     def loaded(self) -> set[str]:
-        """Return the services loaded now, of those that the target may have."""
+        """Return the services loaded now, of those that the target may load."""
         return {*self.target.services, *self.target.loadable}.intersection(self.report.models)
--- a/tests/test_loomyard_router/test_orders/orders_case.py
+++ b/tests/test_loomyard_router/test_orders/orders_case.py
@@ -1,4 +1,4 @@
-"""What tests of orders share."""
+"""Test case with three engines, two order controllers and an order log."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Backlog(Counter):
-    """What waits, until an engine has loaded it."""
+    """Waiting requests by service, none once an engine has loaded the service."""
 
     def __init__(self, engines: MemoryEngines) -> None:
         super().__init__()
@@ -42,13 +42,13 @@
         self.engines = MemoryEngines()
         self.backlog = Backlog(self.engines)
         self.weights = LimitedWeightStore(self.clock, interval=1.0)
-        self.saw: list[tuple[float, str, EngineOrder]] = []
-        self.engines.before_order = self.arrive
+        self.received: list[tuple[float, str, EngineOrder]] = []
+        self.engines.before_order = self.record_order
         self.directories: list[TargetDirectory] = []
         self.targets = {name: self.target(name) for name in "abc"}
         for name in "abc":
             self.engines.add(f"http://{name}", "assistant", checks_fencing=self.checks_fencing)
-        self.keepers = {name: self.keeper(name) for name in ("k0", "k1")}
+        self.controllers = {name: self.controller(name) for name in ("k0", "k1")}
 
     def target(self, name: str, **fields: object) -> Target:
         return Target(
@@ -60,11 +60,11 @@
             **fields,
         )
 
-    def keeper(self, name: str) -> OrderController:
+    def controller(self, name: str) -> OrderController:
         own = Member(name=name, incarnation=1, address="", data_centre="")
         directory = make_configured_targets()
         self.directories.append(directory)
-        keeper = make_order_controller(
+        controller = make_order_controller(
             clock=self.clock,
             log=self.log,
             engine=self.engines,
@@ -73,23 +73,23 @@
             weights=self.weights,
             backlog=self.backlog,
         )
-        for part in (directory, keeper):
+        for part in (directory, controller):
             part.reconfigure(self.routing())
-        return keeper
+        return controller
 
     def routing(self) -> Routing:
         services = [Service(metadata=Metadata(name=n)) for n in ("assistant", "tagger", "drafts")]
         puts = [Put(object=o) for o in [*services, *self.targets.values()]]
         return Routing(fold(ConfigState(), 0, Change(change_id="c", puts=puts))[0])
 
-    def arrive(self, url: str, order: EngineOrder) -> None:
-        self.saw.append((self.clock.now(), url, order))
+    def record_order(self, url: str, order: EngineOrder) -> None:
+        self.received.append((self.clock.now(), url, order))
 
     def run_for(self, seconds: float, *names: str) -> None:
         for _ in range(int(seconds)):
             self.clock.advance(1.0)
-            for name in names or self.keepers:
-                self.keepers[name].step()
+            for name in names or self.controllers:
+                self.controllers[name].step()
 
     def engine(self, name: str) -> MemoryEngine:
         return self.engines.engines[f"http://{name}"]
@@ -97,5 +97,5 @@
     def loaded(self) -> dict[str, list[str]]:
         return {name: self.engine(name).orders.models for name in "abc"}
 
-    def seen(self) -> list[tuple[str, str, str]]:
-        return [(url[-1], order.action, order.subject) for _, url, order in self.saw]
+    def received_orders(self) -> list[tuple[str, str, str]]:
+        return [(url[-1], order.action, order.subject) for _, url, order in self.received]
--- a/tests/test_loomyard_router/test_orders/test_order_fencing.py
+++ b/tests/test_loomyard_router/test_orders/test_order_fencing.py
@@ -1,4 +1,4 @@
-"""Tests of the fencing of orders; what counts is what the engines saw."""
+"""Tests of the fencing of orders, by the orders that the engines received."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class FencingTest(OrdersCase):
-    """Two keepers; the engines check the number."""
+    """Two order controllers; the engines check the fencing number."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -33,13 +33,13 @@
     def numbers(self) -> list[int]:
         return [order.fencing for name in "abc" for order in self.engine(name).orders.taken]
 
-    def assert_numbers_grow(self) -> None:
+    def assert_numbers_ascend(self) -> None:
         for name in "abc":
             taken = [order.fencing for order in self.engine(name).orders.taken]
             self.assertEqual(taken, sorted(taken))
 
     def pause_in_reserve(self, seconds: float) -> None:
-        """Let the first keeper sleep while it asks the weight store, the second go on."""
+        """Pause the first controller in its call to the weight store while the second runs on."""
         reserve = self.weights.reserve
 
         def pause(model: str):
@@ -51,17 +51,17 @@
 
         self.weights.reserve = pause
 
-    def test_a_paused_keeper_wakes_and_sends_nothing(self) -> None:
-        first = self.keepers["k0"].lease.held().fencing
+    def test_controller_that_lost_the_lease_during_a_pause_sends_nothing(self) -> None:
+        first = self.controllers["k0"].lease.held().fencing
         self.pause_in_reserve(2 * TAKEOVER_AFTER)
         self.run_for(60)
-        since = [order.fencing for at, _, order in self.saw if at >= self.woke_at]
+        since = [order.fencing for at, _, order in self.received if at >= self.woke_at]
         self.assertNotIn(first, since)
-        self.assertGreater(self.keepers["k1"].lease.held().fencing, first)
-        self.assert_numbers_grow()
+        self.assertGreater(self.controllers["k1"].lease.held().fencing, first)
+        self.assert_numbers_ascend()
         self.assertIn(["tagger"], self.loaded().values())
 
-    def test_a_lapsed_lease_alone_suffices(self) -> None:
+    def test_expired_lease_without_a_successor_stops_orders(self) -> None:
         reserve = self.weights.reserve
 
         def pause(model: str):
@@ -73,13 +73,13 @@
         self.weights.reserve = pause
         self.run_for(10, "k0")
         self.assertTrue(woke)
-        self.assertFalse({at for at, _, _ in self.saw}.intersection(woke))
+        self.assertFalse({at for at, _, _ in self.received}.intersection(woke))
 
-    def test_an_order_that_is_overtaken(self) -> None:
+    def test_order_that_arrives_after_those_of_a_successor(self) -> None:
         def overtake(url: str, order: EngineOrder) -> None:
-            self.engines.before_order = self.arrive
+            self.engines.before_order = self.record_order
             self.run_for(3 * TAKEOVER_AFTER, "k1")
-            self.arrive(url, order)
+            self.record_order(url, order)
 
         self.engines.before_order = overtake
         self.run_for(5, "k0")
@@ -90,48 +90,48 @@
     def assert_overtaken(self) -> None:
         refused = [order for name in "abc" for order in self.engine(name).orders.refused]
         self.assertEqual(len(refused), 1)
-        self.assert_numbers_grow()
+        self.assert_numbers_ascend()
 
-    def test_the_log_is_down(self) -> None:
+    def test_no_order_or_poll_while_the_log_is_down(self) -> None:
         self.backlog.clear()
         self.log.down = True
         self.run_for(TERM)
         self.backlog["tagger"] = 5
-        before = len(self.saw), self.engine("a").polls
+        before = len(self.received), self.engine("a").polls
         self.run_for(60)
-        self.assertEqual((len(self.saw), self.engine("a").polls), before)
+        self.assertEqual((len(self.received), self.engine("a").polls), before)
         self.log.down = False
         self.run_for(60)
         self.assertIn(["tagger"], self.loaded().values())
 
-    def test_a_lost_answer_of_an_order(self) -> None:
+    def test_order_with_a_lost_answer_is_not_repeated(self) -> None:
         for name in "abc":
             self.engine(name).lose_answers = 1
         self.run_for(60)
-        self.assertEqual(Counter(self.seen()).most_common(1)[0][1], 1)
+        self.assertEqual(Counter(self.received_orders()).most_common(1)[0][1], 1)
         self.assertIn(["tagger"], self.loaded().values())
 
 
 class UncheckedTest(FencingTest):
-    """The same where engines ignore the number."""
+    """The same with engines that ignore the fencing number."""
 
     checks_fencing = False
 
     def assert_overtaken(self) -> None:
-        # Nothing can stop an order that was on its way longer than its lease; the state is read
-        # back and comes out as the successor wants it.
+        # An order in transit for longer than its lease can't be stopped; the successor reads the
+        # resulting state back and corrects it.
         self.assertIn(["assistant"], self.loaded().values())
 
 
 class SuccessorTest(OrdersCase):
-    def test_waits_for_orders_on_their_way_where_numbers_are_ignored(self) -> None:
-        keeper = OrderLeaseManager(
+    def test_waits_for_orders_in_transit_to_engines_that_ignore_fencing(self) -> None:
+        manager = OrderLeaseManager(
             self.clock, self.log, Member(name="k", incarnation=1, address="", data_centre="")
         )
-        sender = OrderSender(self.clock, self.engines, self.weights, keeper)
+        sender = OrderSender(self.clock, self.engines, self.weights, manager)
         self.clock.advance(TAKEOVER_AFTER)
-        keeper.step(candidate=True)
-        taken_at = self.clock.now()
+        manager.step(candidate=True)
+        acquired_at = self.clock.now()
         views = [
             TargetView(
                 target=evolve(self.targets[name], checks_fencing=checks),
@@ -142,11 +142,11 @@
         ]
         for _ in range(8):
             for view in views:
-                sender.work(view, "tagger")
+                sender.advance(view, "tagger")
             self.clock.advance(1.0)
-        first = {name: min(at for at, url, _ in self.saw if url[-1] == name) for name in "ab"}
-        self.assertEqual(first["a"], taken_at)
-        self.assertGreaterEqual(first["b"] - taken_at, ORDER_SECONDS)
+        first = {name: min(at for at, url, _ in self.received if url[-1] == name) for name in "ab"}
+        self.assertEqual(first["a"], acquired_at)
+        self.assertGreaterEqual(first["b"] - acquired_at, ORDER_SECONDS)
 
 
 if __name__ == "__main__":
--- a/tests/test_loomyard_router/test_orders/test_wanted_services.py
+++ b/tests/test_loomyard_router/test_orders/test_refusal_notifier.py
@@ -1,4 +1,4 @@
-"""Tests that the keeper of orders hears what other routers refuse."""
+"""Tests that refusals of other routers reach the order controller."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
         return tuple(member(name) for name in NAMES)
 
 
-class WantedServicesTest(unittest.TestCase):
-    def test_a_lasting_want_has_no_gap_and_costs_few_messages(self) -> None:
+class RefusalNotifierTest(unittest.TestCase):
+    def test_repeated_refusals_count_without_gaps_and_cost_few_messages(self) -> None:
         clock, network = FakeClock(), MemoryNetwork()
         backlogs = {name: LocalBacklog(clock) for name in NAMES}
         for name, backlog in backlogs.items():
             members = ThreeMembers(member(name))
             RefusalNotifier(clock, members, network.join(member(name)), backlog)
-        keeper = find_allocator(members)
-        other = next(name for name in NAMES if name != keeper)
+        controller = find_allocator(members)
+        other = next(name for name in NAMES if name != controller)
         for tenth in range(200):
             backlogs[other].record_refusal("tagger")
             gevent.sleep(0)
             gevent.sleep(0)
-            self.assertEqual(backlogs[keeper].waiting("tagger"), 1, tenth)
+            self.assertEqual(backlogs[controller].waiting("tagger"), 1, tenth)
             clock.advance(0.1)
         self.assertLessEqual(network.sent_messages, 20 / REPEAT_SECONDS + 1)
         clock.advance(REFUSAL_SECONDS)
-        self.assertEqual(backlogs[keeper].waiting("tagger"), 0)
+        self.assertEqual(backlogs[controller].waiting("tagger"), 0)
 
 
 if __name__ == "__main__":
