--- a/packages/loomyard-router/src/loomyard_router/orders/fixed_rate_weight_store.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/fixed_rate_weight_store.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from loomyard.clock import Clock
 
-# Seconds.
+# Seconds between two loads.
 LOAD_INTERVAL = 10.0
 
 
@@ -20,13 +20,13 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._next = clock.now()
+        self._next_load_at = clock.now()
 
     def reserve(self, model: str) -> Result[float, Fault]:
         now = self._clock.now()
-        if now < self._next:
+        if now < self._next_load_at:
             detail = f"load rate limit reached, {model!r} must wait"
-            left = self._next - now
+            left = self._next_load_at - now
             return Err(Fault(code=ResultCode.WEIGHT_STORE_LIMITED, detail=detail, retry_after=left))
-        self._next = now + LOAD_INTERVAL
+        self._next_load_at = now + LOAD_INTERVAL
         return Ok(now)
--- a/packages/loomyard-router/src/loomyard_router/shares/levels.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/levels.py
@@ -10,7 +10,7 @@
 from loomyard_router.shares.messages import UNKNOWN_LEVEL
 from loomyard_router.shares.min_level import MinLevel
 
-# Seconds without requests (waiting, or waiting and running) after which an account is idle.
+# Seconds after which an account without requests, or without waiting ones, counts as idle.
 IDLE_TIMEOUT = 1.0
 
 
@@ -58,9 +58,9 @@
     def shift_from(self, min_level: int, tolerance: float) -> float | None:
         """Return what to add to the levels of a joining router to compare them with those here.
 
-        ``None`` if its minimum level differs by no more than ``tolerance``, by staleness. After a
-        partition, each side has counted without the other, so that only distances from the minimum
-        level can be compared.
+        ``None`` if its minimum level is unknown or differs by at most ``tolerance``, by staleness.
+        After a partition it differs more, since each side counted without the other, and only
+        distances from the minimum level can be compared.
         """
         if min_level == UNKNOWN_LEVEL:
             return None
--- a/packages/loomyard-router/src/loomyard_router/shares/share_session.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/share_session.py
@@ -20,7 +20,7 @@
 class ShareSession:
     """Sequence numbers and unacknowledged changes of the reports to one allocator.
 
-    A new session begins with each new allocator and after each lapse of the lease.
+    A new session begins with each new allocator and after each expiry of the lease.
     """
 
     def __init__(self, number: int) -> None:
--- a/packages/loomyard-router/src/loomyard_router/shares/starvation_tracker.py
+++ b/packages/loomyard-router/src/loomyard_router/shares/starvation_tracker.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from loomyard_router.shares.waiting import WaitingRequest
 
-# Seconds.
+# Seconds without an admission.
 STARVATION_LIMIT = 30.0
 
 
--- a/tests/test_loomyard_router/test_shares/test_fleet.py
+++ b/tests/test_loomyard_router/test_shares/test_fleet.py
@@ -191,10 +191,10 @@
 
     def test_account_far_above_the_minimum_level_is_not_starved(self) -> None:
         own = Load(account="rich", service="own", mean=150.0, outstanding=20, routers=(3,))
-        wanted = Load(account="rich", service="s", mean=150.0, outstanding=20, routers=(3,))
+        shared = Load(account="rich", service="s", mean=150.0, outstanding=20, routers=(3,))
         driver = ShareDriver(
             "fleet",
-            [own, wanted, backlog("large", 0, outstanding=40), backlog("kiosk", 1)],
+            [own, shared, backlog("large", 0, outstanding=40), backlog("kiosk", 1)],
             routers=4,
             engines={"s": (1, 4), "own": (4, 4)},
         )
