--- a/packages/loomyard-router/src/loomyard_router/admission/__init__.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Which request goes next and to which target: full targets, fair shares."""
+"""Admission control: share the slots of targets fairly among client accounts."""
--- a/packages/loomyard-router/src/loomyard_router/admission/account_backlog.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/account_backlog.py
@@ -1,4 +1,4 @@
-"""How many requests of each client account wait for a place at this router."""
+"""Count the requests of each client account that wait for a slot at this router."""
 
 from __future__ import annotations
 
@@ -17,41 +17,42 @@
 
 
 class AccountBacklog:
-    """Count who waits; an account of which many wait is full."""
+    """Waiting requests by account; a full account gets further requests refused at once."""
 
     def __init__(self, ledger: ShareLedger, limit: BacklogLimit | None = None) -> None:
         self._ledger = ledger
         self._limit = limit or AlwaysLowLimit()
         self._waiting: Counter[str] = Counter()
-        self._crowded: set[str] = set()
+        self._near_limit: set[str] = set()
 
     @property
     def any_near_limit(self) -> bool:
-        """Tell whether there may be an account that is full."""
-        return bool(self._crowded)
+        """Tell whether an account has enough waiting requests that it may be full."""
+        return bool(self._near_limit)
 
     def is_full(self, account: str) -> bool:
         """Tell whether no more requests of an account may wait."""
         if self._ledger.exceeds_usage_cap(account):
             return True
-        if account not in self._crowded:
+        if account not in self._near_limit:
             return False
         waiting = self._waiting[account]
         if waiting >= MAX_WAITING:
             return True
-        # An account far beyond its share does not wait: these are on their way to keepers and back.
-        return waiting >= self._limit.most and self._ledger.is_far_over_share(account)
+        # Requests of an account far over its share don't wait for a slot; those counted are being
+        # answered by slot owners.
+        return waiting >= self._limit.max_waiting and self._ledger.is_far_over_share(account)
 
     def add_waiting(self, account: str) -> None:
         """Count a request that begins to wait."""
         self._waiting[account] += 1
         if self._waiting[account] >= MAX_WAITING_LAGGING:
-            self._crowded.add(account)
+            self._near_limit.add(account)
 
     def remove_waiting(self, account: str) -> None:
-        """Count a request that waits no more."""
+        """Count a request that no longer waits."""
         self._waiting[account] -= 1
         if self._waiting[account] < MAX_WAITING_LAGGING:
-            self._crowded.discard(account)
+            self._near_limit.discard(account)
         if not self._waiting[account]:
             del self._waiting[account]
--- a/packages/loomyard-router/src/loomyard_router/admission/account_usage.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/account_usage.py
@@ -1,4 +1,4 @@
-"""How much each client account got lately."""
+"""Decaying sum of the work of each client account."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 from loomyard.clock import Clock
 from loomyard_router.admission.decaying_sum import DecayingSum
 
-FORGOTTEN = 1.0
+MIN_TOKENS = 1.0
 
 
 @define(eq=False)
 class AccountUsage:
-    """Work of each account in tokens, counted less the longer ago it was."""
+    """Tokens of each account, decaying exponentially over ``window`` seconds."""
 
     clock: Clock
     window: float
-    _used: dict[str, DecayingSum] = field(factory=dict)
+    _sums: dict[str, DecayingSum] = field(factory=dict)
 
     def add(self, account: str, cost: float) -> None:
-        """Count work that begins."""
-        used = self._used.setdefault(account, DecayingSum(self.window))
-        used.add(cost, self.clock.now())
+        """Add the cost of a request, in tokens; a negative cost takes an earlier one back."""
+        total = self._sums.setdefault(account, DecayingSum(self.window))
+        total.add(cost, self.clock.now())
 
-    def level(self, account: str) -> float:
-        """Return what an account got lately, in tokens."""
-        used = self._used.get(account)
-        return 0.0 if used is None else used.value(self.clock.now())
+    def tokens(self, account: str) -> float:
+        """Return the decayed sum of an account, in tokens."""
+        total = self._sums.get(account)
+        return 0.0 if total is None else total.value(self.clock.now())
 
-    def levels(self) -> dict[str, float]:
-        """Return the levels of all accounts that got something lately."""
+    def all_tokens(self) -> dict[str, float]:
+        """Return the sums of all accounts and drop those below ``MIN_TOKENS``."""
         now = self.clock.now()
-        levels = {account: used.value(now) for account, used in self._used.items()}
-        for account, level in levels.items():
-            if level < FORGOTTEN:
-                del self._used[account]
-        return {account: level for account, level in levels.items() if level >= FORGOTTEN}
+        tokens = {account: total.value(now) for account, total in self._sums.items()}
+        for account, value in tokens.items():
+            if value < MIN_TOKENS:
+                del self._sums[account]
+        return {account: value for account, value in tokens.items() if value >= MIN_TOKENS}
--- a/packages/loomyard-router/src/loomyard_router/admission/admission_gate.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/admission_gate.py
@@ -1,4 +1,4 @@
-"""The protocol of where places come from."""
+"""Protocol of admission gates."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class AdmissionGate(Protocol):
-    """Give places at targets."""
+    """Give requests permits for slots at targets."""
 
     def acquire(
-        self, request: RoutedRequest, avoided: frozenset[TargetIncarnation]
+        self, request: RoutedRequest, excluded: frozenset[TargetIncarnation]
     ) -> Result[SlotPermit, Fault]:
-        """Wait for a place, at a target that is not avoided.
+        """Wait for a slot at a target that is not excluded.
 
-        Errors: ``NO_TARGET``, ``QUEUE_TIMEOUT``, ``CALLER_GONE``; nothing ran.
+        Errors: ``NO_TARGET``, ``QUEUE_FULL``, ``QUEUE_TIMEOUT``, ``CALLER_GONE``; nothing ran.
         """
--- a/packages/loomyard-router/src/loomyard_router/admission/assembly.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/assembly.py
@@ -1,4 +1,4 @@
-"""Make the parts that decide which request goes where."""
+"""Create and wire the components of admission control."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from loomyard_router.admission.backlog_limit import LagAwareLimit
 from loomyard_router.admission.ejection_tracker import EjectionTracker
 from loomyard_router.admission.fleet_gate import FleetGate
-from loomyard_router.admission.gate import Gate
-from loomyard_router.admission.place_client import PlaceClient
-from loomyard_router.admission.place_keeper import PlaceKeeper
-from loomyard_router.admission.service_gates import ServiceGates
+from loomyard_router.admission.gate_selector import GateSelector
+from loomyard_router.admission.local_gate import LocalGate
 from loomyard_router.admission.share_ledger import ShareLedger
+from loomyard_router.admission.slot_client import SlotClient
 from loomyard_router.admission.slot_metrics import SlotMetrics
+from loomyard_router.admission.slot_owner import SlotOwner
 from loomyard_router.admission.target_choice import TargetChoice
+from loomyard_router.admission.target_estimates import TargetEstimates
 from loomyard_router.admission.target_loads import TargetLoads
-from loomyard_router.admission.target_paces import TargetPaces
 from loomyard_router.admission.waiting_time import RetryHint
 from loomyard_router.announced.cold_targets import ColdTargets
 
@@ -38,46 +38,46 @@
 
 @frozen(kw_only=True)
 class AdmissionComponents:
-    """The source of places, what keeps them and the shares, and what is known of targets."""
+    """Gate, slot owner, slot client, share ledger, and the state of targets of one router."""
 
     gate: AdmissionGate
     loads: TargetLoads
     cold_targets: ColdTargets
     ledger: ShareLedger
-    keeper: PlaceKeeper
-    places: PlaceClient
-    paces: TargetPaces
+    slot_owner: SlotOwner
+    slot_client: SlotClient
+    estimates: TargetEstimates
     health: EjectionTracker
     backlog: AccountBacklog
     retry_hint: RetryHint
 
     @property
     def slot_metrics(self) -> SlotMetrics:
-        """Return what operators see of places."""
+        """Return the callables that are read when metrics are scraped."""
         return SlotMetrics(
-            prefill_estimates=self.paces.all,
-            refusals=lambda: self.places.objections,
-            unresponsive_owners=lambda: len(self.places.silent),
+            prefill_estimates=self.estimates.all,
+            refusals=lambda: self.slot_client.refusals,
+            unresponsive_owners=lambda: len(self.slot_client.unresponsive),
         )
 
     def start(self) -> None:
-        """Start to keep places, to state those held and to report what accounts got."""
+        """Start to report usage, to expire permits of others, and to renew own permits."""
         self.ledger.start()
-        self.keeper.start()
-        self.places.start()
+        self.slot_owner.start()
+        self.slot_client.start()
 
     def stop(self) -> None:
-        """End."""
-        self.places.stop()
-        self.keeper.stop()
+        """Stop all background tasks."""
+        self.slot_client.stop()
+        self.slot_owner.stop()
         self.ledger.stop()
 
     def retain(self, known: set[TargetIncarnation]) -> None:
-        """Forget lives of targets that are not known any more."""
-        self.loads.forget(known)
-        self.health.forget(known)
-        self.places.forget(known)
-        self.paces.forget(known)
+        """Drop the state of all other incarnations of targets."""
+        self.loads.retain(known)
+        self.health.retain(known)
+        self.slot_client.retain(known)
+        self.estimates.retain(known)
 
 
 def make_admission(
@@ -91,10 +91,9 @@
     rng: random.Random,
     lag: Callable[[], float] = lambda: 0.0,
 ) -> AdmissionComponents:
-    """Wire the gates.
+    """Create and wire the components of admission.
 
-    ``window`` is the time over which shares are compared, in seconds; ``lag`` tells for how long
-    what is ready waits for its turn in this process.
+    ``window`` is the share window in seconds; ``lag`` returns the event-loop lag in seconds.
     """
 
     ledger = ShareLedger(
@@ -103,31 +102,38 @@
         peers=peers,
         window=window,
         rate=lambda: 0.0 if holder.table is None else holder.table.limits.tokens_per_second,
-        source=rng,
+        rng=rng,
     )
     cold = ColdTargets(clock, registry, holder)
-    paces = TargetPaces()
-    keeper = PlaceKeeper(
-        clock=clock, registry=registry, members=members, peers=peers, cold=cold, paces=paces
+    estimates = TargetEstimates()
+    slot_owner = SlotOwner(
+        clock=clock,
+        registry=registry,
+        members=members,
+        peers=peers,
+        cold=cold,
+        estimates=estimates,
+    )
+    slot_client = SlotClient(
+        clock=clock, members=members, peers=peers, local_owner=slot_owner, estimates=estimates
     )
-    places = PlaceClient(clock=clock, members=members, peers=peers, keeper=keeper, paces=paces)
     health = EjectionTracker(clock)
     loads = TargetLoads(lambda: len(members.live()))
     hint = RetryHint(rng)
-    waiting = AccountBacklog(ledger, LagAwareLimit(lag))
+    backlog = AccountBacklog(ledger, LagAwareLimit(lag))
     engines = FleetGate(
         clock=clock,
         registry=registry,
         health=health,
         loads=loads,
-        client=places,
+        client=slot_client,
         ledger=ledger,
-        waiting=waiting,
+        backlog=backlog,
         hint=hint,
         cold=cold,
-        paces=paces,
+        estimates=estimates,
     )
-    plain = Gate(
+    plain = LocalGate(
         clock=clock,
         registry=registry,
         loads=loads,
@@ -137,16 +143,16 @@
         hint=hint,
         cold=cold,
     )
-    gate = ServiceGates(holder=holder, registry=registry, cold=cold, engines=engines, plain=plain)
+    gate = GateSelector(holder=holder, registry=registry, cold=cold, engines=engines, plain=plain)
     return AdmissionComponents(
         gate=gate,
         loads=loads,
         cold_targets=cold,
         ledger=ledger,
-        keeper=keeper,
-        places=places,
-        paces=paces,
+        slot_owner=slot_owner,
+        slot_client=slot_client,
+        estimates=estimates,
         health=health,
-        backlog=waiting,
+        backlog=backlog,
         retry_hint=hint,
     )
--- a/packages/loomyard-router/src/loomyard_router/admission/backlog_limit.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/backlog_limit.py
@@ -1,4 +1,4 @@
-"""How many requests of an account far beyond its share may be on their way to keepers at once."""
+"""Limits on the requests of one client account that wait at this router."""
 
 from __future__ import annotations
 
@@ -7,44 +7,43 @@
 
 from attrs import frozen
 
-# Each waits a tenth of a second, so more would only make the router late for everybody, as one
-# account's burst of 300 a second did on half a core.
+# Each request waits about 0.1 s. More of them would make the event loop lag for all accounts: a
+# burst of 300 requests a second of one account did so on half a core.
 MAX_WAITING = 48
-# What a router that is behind can still carry.
+# A lagging router can still handle this many.
 MAX_WAITING_LAGGING = 12
-# While ready tasks wait for longer than this, the router is behind.
+# Event-loop lag, in seconds, above which the router counts as lagging.
 LAG_THRESHOLD_SECONDS = 0.015
 
 
 class BacklogLimit(Protocol):
-    """Bound those of one account far beyond its share."""
+    """Limit the waiting requests of an account that is far over its share."""
 
     @property
-    def most(self) -> int:
+    def max_waiting(self) -> int:
         """Return how many may wait."""
 
 
 class AlwaysLowLimit:
-    """Keep the router's core for others, whether it is needed or not."""
+    """Always apply the lower limit, whether the router lags or not."""
 
     @property
-    def most(self) -> int:
+    def max_waiting(self) -> int:
         return MAX_WAITING_LAGGING
 
 
 @frozen
 class LagAwareLimit:
-    """Let as many ask as of any account while this router's core has time.
+    """Apply the lower limit only while the event loop of this router lags.
 
-    An account whose callers all meet one router is refused there by its first bytes while one that
-    is spread over the fleet asks on. On the heaviest day of 62 routers, on which two such accounts
-    meet one each, 17,282 of 33,709 requests were answered in time in place of 16,606, and 3,274
-    late in place of 3,831; on those of three small fleets 13,372 in place of 13,367 of 24,022 (one
-    run each, counted at the callers).
+    Applied always, it would treat accounts that are far over their shares unequally: one whose
+    callers all use one router would be refused there, before its requests are decoded, while one
+    that is spread over the fleet could still ask at all other routers.
+    ``lag`` returns the event-loop lag in seconds.
     """
 
     lag: Callable[[], float]
 
     @property
-    def most(self) -> int:
+    def max_waiting(self) -> int:
         return MAX_WAITING_LAGGING if self.lag() > LAG_THRESHOLD_SECONDS else MAX_WAITING
--- a/packages/loomyard-router/src/loomyard_router/admission/fair_share.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/fair_share.py
@@ -1,4 +1,4 @@
-"""What each client account may have of a rate that not all demand can be met from."""
+"""Max-min fair share of a rate that cannot meet all demand."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
     from collections.abc import Mapping
 
 
-def find_water_level(demands: Mapping[str, float], capacity: float) -> float:
-    """Return the max-min fair share: who wants less gets all, the others this much each.
+def find_max_min_share(demands: Mapping[str, float], capacity: float) -> float:
+    """Return the max-min fair share: smaller demands are met, larger ones get this much each.
 
     Where the capacity meets all demand, the share is the whole capacity.
     """
-    left = capacity
-    waiting = sorted(demands.values())
-    for number, demand in enumerate(waiting):
-        share = left / (len(waiting) - number)
+    remaining = capacity
+    ascending = sorted(demands.values())
+    for number, demand in enumerate(ascending):
+        share = remaining / (len(ascending) - number)
         if demand > share:
             return share
-        left -= demand
+        remaining -= demand
     return capacity
--- a/packages/loomyard-router/src/loomyard_router/admission/fleet_gate.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/fleet_gate.py
@@ -1,4 +1,4 @@
-"""Places at engines, of which the whole fleet shares the slots."""
+"""Admission gate for engines, whose slots the whole fleet shares."""
 
 from __future__ import annotations
 
@@ -10,53 +10,57 @@
 
 from loomyard.errors import Fault, ResultCode
 from loomyard.rendezvous import rank_weighted
-from loomyard_router.admission.place_client import APART_LEVEL, Verdict
+from loomyard_router.admission.slot_client import ISOLATION_THRESHOLD, SlotStatus
 from loomyard_router.admission.slot_permit import SlotPermit
-from loomyard_router.admission.waiting_time import RetryHint, wait_until
+from loomyard_router.admission.waiting_time import RetryHint, find_wait_deadline
 from loomyard_router.announced.target_incarnation import TargetIncarnation
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
     from loomyard_router.admission.account_backlog import AccountBacklog
     from loomyard_router.admission.ejection_tracker import EjectionTracker
-    from loomyard_router.admission.place_client import PlaceClient
     from loomyard_router.admission.share_ledger import ShareLedger
+    from loomyard_router.admission.slot_client import SlotClient
+    from loomyard_router.admission.target_estimates import TargetEstimates
     from loomyard_router.admission.target_loads import TargetLoads
-    from loomyard_router.admission.target_paces import TargetPaces
     from loomyard_router.announced.announced_target import AnnouncedTarget
     from loomyard_router.announced.cold_targets import ColdTargets
     from loomyard_router.announced.target_registry import TargetRegistry
     from loomyard_router.routed.routed_request import RoutedRequest
 
-# Seconds of waiting that a token is worth which another engine would read again: some fifteen times
-# its reading, since that also delays all that runs there (docs/DECISIONS.md, Places of engines).
-WAIT_PER_TOKEN = 100e-6
-# By this part of the objective a target has to begin the answer, so that it reaches its caller in
+# Seconds to wait for the preferred engine per token that another engine would have to read again.
+# That is some fifteen times the time to read it, as reading also delays all that runs there
+# (docs/DECISIONS.md, Places of engines).
+WAIT_SECONDS_PER_TOKEN = 100e-6
+# The first token is due after this fraction of the objective, so that it reaches the caller in
 # time.
-PATIENCE_PART = 0.75
+FIRST_TOKEN_FRACTION = 0.75
 DEFAULT_OBJECTIVE = 0.4
-LEAST_WAIT = 0.002
-# Seconds after which a router that waits for its own part looks whether that is still so.
-OWN_WAIT = 0.05
-# Engines tried besides the preferred one before it is waited for again.
-MOST_OTHERS = 2
-# As many for a prompt that is mostly its own: little of it is read again elsewhere, and where it is
-# long, only an engine that reads nothing else begins it in time; each second one does.
-MOST_OTHERS_OWN = 6
-# To weigh hundreds of targets takes as long as to rank them, and weights change in steps.
-WEIGHTS_SECONDS = 0.25
-# Own tokens for each shared one from which on a prompt counts as its own.
-OWN_RATIO = 2.0
+MIN_WAIT = 0.002
+# Seconds after which a router that waits for its own quota checks that the owner is still
+# unresponsive.
+QUOTA_RECHECK_SECONDS = 0.05
+# Engines tried besides the preferred one before the request waits for that one again.
+MAX_FALLBACKS = 2
+# The same for a prompt that is mostly unshared: little of it has to be read again elsewhere. A long
+# one gets its first token in time only from an engine that reads nothing else, as about every
+# second engine does.
+MAX_FALLBACKS_UNSHARED = 6
+# Computing the weights of hundreds of targets takes as long as ranking them, and weights change
+# only in steps.
+WEIGHTS_CACHE_SECONDS = 0.25
+# A prompt counts as mostly unshared from this ratio of unshared to shared tokens on.
+UNSHARED_RATIO = 2.0
 
 
 @frozen
-class _Weights:
+class _CachedWeights:
     until: float
-    by_life: dict[TargetIncarnation, float]
+    by_incarnation: dict[TargetIncarnation, float]
 
 
 class FleetGate:
-    """Ask the keepers of engines; without an answer take no more than this router's part."""
+    """Request slots from slot owners, or use this router's quota where an owner does not reply."""
 
     def __init__(
         self,
@@ -65,67 +69,74 @@
         registry: TargetRegistry,
         health: EjectionTracker,
         loads: TargetLoads,
-        client: PlaceClient,
+        client: SlotClient,
         ledger: ShareLedger,
-        waiting: AccountBacklog,
+        backlog: AccountBacklog,
         hint: RetryHint,
         cold: ColdTargets,
-        paces: TargetPaces,
+        estimates: TargetEstimates,
     ) -> None:
         self._clock = clock
-        self._paces = paces
-        self._weights: dict[str, _Weights] = {}
+        self._estimates = estimates
+        self._weights: dict[str, _CachedWeights] = {}
         self._registry = registry
         self._health = health
         self._loads = loads
         self._client = client
         self._ledger = ledger
-        self._waiting = waiting
+        self._backlog = backlog
         self._hint = hint
         self._cold = cold
 
     def acquire(
-        self, request: RoutedRequest, avoided: frozenset[TargetIncarnation]
+        self, request: RoutedRequest, excluded: frozenset[TargetIncarnation]
     ) -> Result[SlotPermit, Fault]:
+        """Wait for a slot at a target that is not excluded.
+
+        Errors: ``NO_TARGET``, ``QUEUE_FULL``, ``QUEUE_TIMEOUT``, ``CALLER_GONE``; nothing ran.
+        """
         account = request.account_name
-        if not avoided:
-            # What goes on at another target was asked for once already.
-            self._ledger.ask(account, request.cost)
+        if not excluded:
+            # A further attempt at another target is no new demand.
+            self._ledger.record_demand(account, request.cost)
         request.trace.share_used = self._ledger.share_used(account)
-        if self._waiting.is_full(account):
-            detail = "too many requests of the account wait for a place here"
+        if self._backlog.is_full(account):
+            detail = "too many requests of the account wait for a slot at this router"
             return Err(self._hint.make_refusal(ResultCode.QUEUE_FULL, detail))
-        self._waiting.add_waiting(account)
+        self._backlog.add_waiting(account)
         try:
-            return self._find(request, avoided)
+            return self._find_slot(request, excluded)
         finally:
-            self._waiting.remove_waiting(account)
+            self._backlog.remove_waiting(account)
 
-    def _find(
-        self, request: RoutedRequest, avoided: frozenset[TargetIncarnation]
+    def _find_slot(
+        self, request: RoutedRequest, excluded: frozenset[TargetIncarnation]
     ) -> Result[SlotPermit, Fault]:
-        ranked = self._rank(request, avoided)
+        ranked = self._rank(request, excluded)
         if not ranked:
-            detail = "no target of the service takes new work"
+            detail = "no target of the service accepts new requests"
             return Err(self._hint.make_refusal(ResultCode.NO_TARGET, detail))
-        beyond = self._ledger.beyond(request.account_name)
-        until = wait_until(request, within_share=not beyond)
+        over_share = self._ledger.is_over_share(request.account_name)
+        until = find_wait_deadline(request, within_share=not over_share)
         objective = request.route.objective or DEFAULT_OBJECTIVE
-        first_event_by = request.arrived_at + PATIENCE_PART * objective
-        # What is beyond the share goes to those that got less, also if their callers all meet one
-        # router; whoever got most would wait at all routers and take each place that comes free.
-        waits_here = not self._ledger.is_far_over_share(request.account_name)
-        first = min(until - self._clock.now(), _worthwhile_wait(request)) if waits_here else 0.0
-        # A cold target is asked, not waited for: it bears a few requests a second.
+        first_token_by = request.arrived_at + FIRST_TOKEN_FRACTION * objective
+        # An account far over its share does not wait: it would wait at all routers and take each
+        # slot that becomes free, before accounts with less usage whose callers use one router.
+        may_wait = not self._ledger.is_far_over_share(request.account_name)
+        first = min(until - self._clock.now(), _worthwhile_wait(request)) if may_wait else 0.0
+        # A cold target is tried without a wait: it can take only a few requests a second.
         waits = [(ranked[0], 0.0 if self._cold.rate_limit(ranked[0]) else first)]
-        waits += [(target, 0.0) for target in ranked[1 : 1 + _most_others(request, beyond=beyond)]]
+        waits += [
+            (target, 0.0)
+            for target in ranked[1 : 1 + _max_fallbacks(request, over_share=over_share)]
+        ]
         for choice, (target, wait) in enumerate(waits):
-            place = self._ask(request, target, wait, first_event_by, choice)
-            if place is not None or request.presence.gone:
-                return self._end(request, place)
-        return self._end(
+            permit = self._request_slot(request, target, wait, first_token_by, choice)
+            if permit is not None or request.presence.gone:
+                return self._finish(request, permit)
+        return self._finish(
             request,
-            self._wait_longer(request, ranked, until, first_event_by) if waits_here else None,
+            self._wait_longer(request, ranked, until, first_token_by) if may_wait else None,
         )
 
     def _wait_longer(
@@ -133,146 +144,151 @@
         request: RoutedRequest,
         ranked: list[AnnouncedTarget],
         until: float,
-        first_event_by: float,
+        first_token_by: float,
     ) -> SlotPermit | None:
-        """Wait at the first target that is warm; with its keeper silent, for this router's part.
+        """Wait at the first warm target; while its owner is unresponsive, for this router's quota.
 
-        A refusal at once would send the caller away while targets have room: of 844 refusals of
-        the router that all large accounts met, half came within 28 ms of the arrival and with
-        keepers that it took for silent (19 routers, 36 requests a second there, lines of requests).
+        Refusing at once while owners are unresponsive would send callers away though targets have
+        free slots.
         """
         left = until - self._clock.now()
         warm = (one for one in enumerate(ranked) if not self._cold.rate_limit(one[1]))
         choice, target = next(warm, (-1, None))
-        if target is None or left < LEAST_WAIT:
+        if target is None or left < MIN_WAIT:
             return None
-        place = self._ask(request, target, left, first_event_by, choice)
-        for _ in range(math.ceil(left / OWN_WAIT)):
+        permit = self._request_slot(request, target, left, first_token_by, choice)
+        for _ in range(math.ceil(left / QUOTA_RECHECK_SECONDS)):
             left = until - self._clock.now()
-            silent = self._client.is_silent(target)
-            if place is not None or request.presence.gone or not silent or left < LEAST_WAIT:
+            unresponsive = self._client.is_unresponsive(target)
+            if permit is not None or request.presence.gone or not unresponsive or left < MIN_WAIT:
                 break
-            if self._loads.wait(min(until, self._clock.now() + OWN_WAIT), self._clock):
-                place = self._ask_own(request, ranked, first_event_by)
-        return place
+            if self._loads.wait(min(until, self._clock.now() + QUOTA_RECHECK_SECONDS), self._clock):
+                permit = self._use_quota(request, ranked, first_token_by)
+        return permit
 
-    def _ask_own(
+    def _use_quota(
         self,
         request: RoutedRequest,
         ranked: list[AnnouncedTarget],
-        first_event_by: float,
+        first_token_by: float,
     ) -> SlotPermit | None:
-        """Take a place of this router's part of a warm target whose keeper is silent."""
+        """Use this router's quota of the first warm target whose slot owner is unresponsive."""
         for choice, target in enumerate(ranked):
-            own = self._client.is_silent(target) and self._loads.has_free_slot(target)
-            if own and not self._cold.rate_limit(target):
-                return self._ask(request, target, 0.0, first_event_by, choice)
+            has_quota = self._client.is_unresponsive(target) and self._loads.has_free_slot(target)
+            if has_quota and not self._cold.rate_limit(target):
+                return self._request_slot(request, target, 0.0, first_token_by, choice)
         return None
 
-    def _end(self, request: RoutedRequest, place: SlotPermit | None) -> Result[SlotPermit, Fault]:
+    def _finish(
+        self, request: RoutedRequest, permit: SlotPermit | None
+    ) -> Result[SlotPermit, Fault]:
         if request.presence.gone:
-            if place is not None:
-                place.release()
+            if permit is not None:
+                permit.release()
             return Err(Fault(code=ResultCode.CALLER_GONE, detail="the caller left"))
-        if place is None:
-            return Err(self._hint.make_refusal(ResultCode.QUEUE_TIMEOUT, "no place came free soon"))
-        return Ok(place)
+        if permit is None:
+            return Err(
+                self._hint.make_refusal(ResultCode.QUEUE_TIMEOUT, "no slot became free in time")
+            )
+        return Ok(permit)
 
     def _rank(
-        self, request: RoutedRequest, avoided: frozenset[TargetIncarnation]
+        self, request: RoutedRequest, excluded: frozenset[TargetIncarnation]
     ) -> list[AnnouncedTarget]:
         usable = [
-            one for one in self._registry.usable(request.service) if one.incarnation not in avoided
+            one for one in self._registry.usable(request.service) if one.incarnation not in excluded
         ]
         if not usable:
             return []
         by_id = {target.id: target for target in self._health.healthy(usable)}
-        # What ran beside a request that ends targets often shares its prompt; after its target
-        # ended it goes another way than that, so that it is not there again.
+        # Requests that ran beside a poison request often share its prompt prefix. After the crash
+        # they are ranked by their fingerprint, so that they do not meet at a target again.
         key = request.fingerprint if request.crash_count else request.affinity_key
-        weights = self._weigh(request.service)
+        weights = self._capacity_weights(request.service)
         capacities = {target.id: weights.get(target.incarnation, 1.0) for target in by_id.values()}
         ids = rank_weighted(key or request.head.attempt_id, capacities)
         ranked = [by_id[target_id] for target_id in ids]
         if not key:
-            ranked.sort(key=self._client.taken)
+            ranked.sort(key=self._client.slots_in_use)
         return ranked
 
-    def _weigh(self, service: str) -> dict[TargetIncarnation, float]:
-        """Return the relative capacities of targets, as they were lately."""
+    def _capacity_weights(self, service: str) -> dict[TargetIncarnation, float]:
+        """Return the relative prefill speeds of the targets of a service, cached for a moment."""
         now = self._clock.now()
         weights = self._weights.get(service)
         if weights is None or weights.until <= now:
-            lives = [target.incarnation for target in self._registry.usable(service)]
-            weights = _Weights(now + WEIGHTS_SECONDS, self._paces.weights(lives))
+            incarnations = [target.incarnation for target in self._registry.usable(service)]
+            weights = _CachedWeights(
+                now + WEIGHTS_CACHE_SECONDS, self._estimates.weights(incarnations)
+            )
             self._weights[service] = weights
-        return weights.by_life
+        return weights.by_incarnation
 
-    def _ask(
+    def _request_slot(
         self,
         request: RoutedRequest,
         target: AnnouncedTarget,
         wait: float,
-        first_event_by: float,
+        first_token_by: float,
         choice: int,
     ) -> SlotPermit | None:
         account = request.account_name
         cold_rate = self._cold.rate_limit(target)
-        outcome = self._client.ask(
+        outcome = self._client.request(
             request,
             target,
             wait=wait,
-            first_event_by=first_event_by,
-            level=self._ledger.usage(account),
-            used=self._ledger.share_used(account),
+            first_token_by=first_token_by,
+            usage=self._ledger.usage(account),
+            share_used=self._ledger.share_used(account),
             cold_rate=cold_rate,
         )
-        request.trace.refusal_reason = outcome.objection
-        if outcome.verdict is Verdict.FULL:
+        request.trace.refusal_reason = outcome.refusal_reason
+        if outcome.status is SlotStatus.FULL:
             return None
-        if outcome.verdict is Verdict.UNREACHABLE and (
-            # Only the keeper knows whether another one of them has just begun there.
-            request.crash_count >= APART_LEVEL
-            or not self._loads.spend_part(target, cold_rate, self._clock.now())
+        if outcome.status is SlotStatus.UNREACHABLE and (
+            # Only the slot owner knows whether another suspected request just started there.
+            request.crash_count >= ISOLATION_THRESHOLD
+            or not self._loads.use_quota(target, cold_rate, self._clock.now())
         ):
             return None
-        ticket = outcome.ticket
+        permit = outcome.permit
         self._loads.record_start(target)
-        self._ledger.give(account, request.cost)
+        self._ledger.record_usage(account, request.cost)
 
-        def released() -> None:
+        def on_release() -> None:
             self._loads.record_end(target)
-            if ticket:
-                self._client.release(ticket)
+            if permit:
+                self._client.release(permit)
 
-        def answered() -> None:
-            if ticket:
-                self._client.note_read(ticket)
+        def on_answer() -> None:
+            if permit:
+                self._client.record_first_token(permit)
 
-        def unused() -> None:
-            self._ledger.take_back(account, request.cost)
+        def on_unused() -> None:
+            self._ledger.refund(account, request.cost)
 
-        taken = self._client.taken(target) if ticket else -1
+        slots_in_use = self._client.slots_in_use(target) if permit else -1
         return SlotPermit(
             target,
-            released,
-            answered=answered,
-            unused=unused,
-            slots_in_use=taken,
+            on_release,
+            on_answer=on_answer,
+            on_unused=on_unused,
+            slots_in_use=slots_in_use,
             target_rank=choice,
-            expected_ttft=outcome.expected,
+            expected_ttft=outcome.ttft,
         )
 
 
 def _worthwhile_wait(request: RoutedRequest) -> float:
-    return request.shared_prompt_tokens * WAIT_PER_TOKEN
+    return request.shared_prompt_tokens * WAIT_SECONDS_PER_TOKEN
 
 
-def _most_others(request: RoutedRequest, *, beyond: bool) -> int:
-    mostly_own = request.head.prompt_tokens - request.shared_prompt_tokens >= (
-        OWN_RATIO * request.shared_prompt_tokens
+def _max_fallbacks(request: RoutedRequest, *, over_share: bool) -> int:
+    mostly_unshared = request.head.prompt_tokens - request.shared_prompt_tokens >= (
+        UNSHARED_RATIO * request.shared_prompt_tokens
     )
-    if not beyond or not request.affinity_key:
-        return MOST_OTHERS_OWN if mostly_own else MOST_OTHERS
-    # What it asks beyond its share must not make other engines read shared parts again.
-    return MOST_OTHERS if mostly_own else 0
+    if not over_share or not request.affinity_key:
+        return MAX_FALLBACKS_UNSHARED if mostly_unshared else MAX_FALLBACKS
+    # Requests over the share must not make other engines read shared parts again.
+    return MAX_FALLBACKS if mostly_unshared else 0
--- a/packages/loomyard-router/src/loomyard_router/admission/gap_bound.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/gap_bound.py
@@ -1,4 +1,4 @@
-"""How much more than a backlogged client account another one may get."""
+"""Bounds on the usage of a client account beside that of other backlogged accounts."""
 
 from __future__ import annotations
 
@@ -9,56 +9,53 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# The users' bound on the gap between two accounts that wait all through is a ratio of two; what was
-# granted since the last report and what is on its way takes a tenth of it.
-GAP = 1.8
-# An account that got so much less than it asked for waits.
-WAITS = 1.25
-# What one account gets must not hold all others back without end: one whose router can do no more
-# would otherwise leave engines idle.
-LEAST_PART = 0.5
+# Users bound the ratio of the usage of two backlogged accounts by two. A tenth is left for what was
+# granted since the last report and for requests on their way.
+MAX_RATIO = 1.8
+# An account whose demand exceeds its usage by this factor is backlogged.
+BACKLOGGED_RATIO = 1.25
+# The cap is at least this fraction of the served share: an account that one router alone serves,
+# and that cannot get more there, would otherwise leave engines idle.
+MIN_FRACTION = 0.5
 
 
 class GapBound(Protocol):
-    """Bound what an account may have got in the share window to be admitted to engines."""
+    """Cap the usage up to which accounts are admitted to engines."""
 
-    def find_most(
-        self, asked: Mapping[str, float], given: Mapping[str, float], reached: float
+    def find_cap(
+        self, demand: Mapping[str, float], usage: Mapping[str, float], served_share: float
     ) -> int:
-        """Return the bound in tokens, ``NO_SHARE`` for none.
+        """Return the cap in tokens of the share window, ``NO_SHARE`` for none.
 
-        ``reached`` is the max-min share of what engines do in fact.
+        ``served_share`` is the max-min share of the tokens that engines serve in fact.
         """
 
 
 class NoGapBound:
-    """Let whoever asks more often get what nobody waits for at an engine."""
+    """No cap: capacity that no other request waits for goes to any account that asks for it."""
 
-    def find_most(
-        self, asked: Mapping[str, float], given: Mapping[str, float], reached: float
+    def find_cap(
+        self, demand: Mapping[str, float], usage: Mapping[str, float], served_share: float
     ) -> int:
         return NO_SHARE
 
 
-class LeastServedGap:
-    """Bound all by the least served of those that wait and asked for a whole share.
+class LeastServedBound:
+    """Cap all accounts by the least usage of a backlogged one that wants at least a full share.
 
-    Of two accounts beyond their shares, with prompts of the same size, one at 1.3 times its share
-    asked for 0.93 million tokens in six seconds and got 0.32, one at 4 times got 1.60; with this
-    bound no such gap came on that day or in 120 hunted ones of three deployments. It is not in
-    use: on 85 VMs the same rule was broken with it (0.79 million tokens against 1.88; whether by
-    who got much earlier and pauses while others get more now was not traced), and one deployment
-    fell by 0.06, its quiet day by 0.05 (one run each).
+    Not in use. It kept the bound in 120 loads searched for violations in three deployments, but not
+    in a fleet of 85 VMs (0.79 million tokens beside 1.88; the cause is not known), and it lowered
+    the score of one deployment by 0.06.
     """
 
-    def find_most(
-        self, asked: Mapping[str, float], given: Mapping[str, float], reached: float
+    def find_cap(
+        self, demand: Mapping[str, float], usage: Mapping[str, float], served_share: float
     ) -> int:
-        waiting = [
-            given.get(account, 0.0)
-            for account, wanted in asked.items()
-            if wanted >= reached and wanted > WAITS * given.get(account, 0.0)
+        backlogged = [
+            usage.get(account, 0.0)
+            for account, wanted in demand.items()
+            if wanted >= served_share and wanted > BACKLOGGED_RATIO * usage.get(account, 0.0)
         ]
-        if not waiting:
+        if not backlogged:
             return NO_SHARE
-        return round(GAP * max(min(waiting), LEAST_PART * reached))
+        return round(MAX_RATIO * max(min(backlogged), MIN_FRACTION * served_share))
--- a/packages/loomyard-router/src/loomyard_router/admission/service_gates.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/gate_selector.py
@@ -1,4 +1,4 @@
-"""The source of places for each kind of service."""
+"""Select the admission gate for a request by its service."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from attrs import frozen
 
 from loomyard_router.admission.admission_gate import AdmissionGate
-from loomyard_router.admission.place_client import APART_LEVEL
+from loomyard_router.admission.slot_client import ISOLATION_THRESHOLD
 from loomyard_router.announced.cold_targets import ColdTargets
 from loomyard_router.announced.target_registry import TargetRegistry
 from loomyard_router.routes.table_holder import TableHolder
@@ -22,12 +22,12 @@
 
 
 @frozen(kw_only=True)
-class ServiceGates:
-    """Engines are filled by the whole fleet; plain services have room, and each router its part.
+class GateSelector:
+    """Gate for all services: the fleet shares engines, each router has a quota of plain services.
 
-    While all targets of a plain service are cold, they are shared like engines: only the keeper of
-    a target counts what the whole fleet sends there. So are they for a request that has to run
-    apart from others of its kind.
+    A plain service of which all targets are cold goes through the slot owners like an engine, since
+    only the owner of a target counts what the whole fleet sends there. So does a request that has
+    to run apart from other suspected ones.
     """
 
     holder: TableHolder
@@ -37,17 +37,17 @@
     plain: AdmissionGate
 
     def acquire(
-        self, request: RoutedRequest, avoided: frozenset[TargetIncarnation]
+        self, request: RoutedRequest, excluded: frozenset[TargetIncarnation]
     ) -> Result[SlotPermit, Fault]:
-        """Wait for a place, as ``PlaceSource`` says."""
+        """Wait for a slot, see ``AdmissionGate``."""
         table = self.holder.table
         terms = table.services.get(request.service) if table else None
         shared = terms is not None and (
             terms.engine is not None
-            or request.crash_count >= APART_LEVEL
+            or request.crash_count >= ISOLATION_THRESHOLD
             or self._all_cold(request.service)
         )
-        return (self.engines if shared else self.plain).acquire(request, avoided)
+        return (self.engines if shared else self.plain).acquire(request, excluded)
 
     def _all_cold(self, service: str) -> bool:
         usable = self.registry.usable(service)
--- a/packages/loomyard-router/src/loomyard_router/admission/gate.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/local_gate.py
@@ -1,4 +1,4 @@
-"""Give places at targets to requests, the client account that got least first."""
+"""Admission gate that counts only the requests of this router, for plain services."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from loomyard.errors import Fault, ResultCode
 from loomyard_router.admission.slot_permit import SlotPermit
 from loomyard_router.admission.waiter import Waiter
-from loomyard_router.admission.waiting_time import wait_until
+from loomyard_router.admission.waiting_time import find_wait_deadline
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
@@ -27,8 +27,11 @@
     from loomyard_router.routed.routed_request import RoutedRequest
 
 
-class Gate:
-    """Queue requests for each service; what finds no place soon is refused, to come back later."""
+class LocalGate:
+    """Queue requests by service and serve the account with the least usage first.
+
+    A request that gets no slot in time is refused with a hint when to retry.
+    """
 
     def __init__(
         self,
@@ -54,23 +57,23 @@
         registry.subscribe(self._dispatch_all)
 
     def acquire(
-        self, request: RoutedRequest, avoided: frozenset[TargetIncarnation]
+        self, request: RoutedRequest, excluded: frozenset[TargetIncarnation]
     ) -> Result[SlotPermit, Fault]:
-        """Wait for a place, at a target that is not avoided.
+        """Wait for a slot at a target that is not excluded.
 
         Errors: ``NO_TARGET``, ``QUEUE_TIMEOUT``, ``CALLER_GONE``; nothing ran.
         """
-        if not self._candidates(request, avoided):
+        if not self._candidates(request, excluded):
             return Err(
                 self._hint.make_refusal(
-                    ResultCode.NO_TARGET, "no target of the service takes new work"
+                    ResultCode.NO_TARGET, "no target of the service accepts new requests"
                 )
             )
-        waiter = Waiter(request, avoided)
+        waiter = Waiter(request, excluded)
         if not self._queues.get(request.service):
-            place = self._place(waiter)
-            if place is not None:
-                return Ok(place)
+            permit = self._try_acquire(waiter)
+            if permit is not None:
+                return Ok(permit)
         return self._wait(waiter)
 
     def _wait(self, waiter: Waiter) -> Result[SlotPermit, Fault]:
@@ -80,27 +83,25 @@
         self._dispatch(request.service)
 
         def leave() -> None:
-            if not waiter.placed.ready():
-                waiter.placed.set(None)
+            if not waiter.permit.ready():
+                waiter.permit.set(None)
 
         request.presence.subscribe(leave)
-        until = wait_until(request)
-        place = None
+        until = find_wait_deadline(request)
+        permit = None
         try:
             with Timeout(max(0.0, until - self._clock.now()), False):
-                place = waiter.placed.get()
+                permit = waiter.permit.get()
         finally:
             request.presence.unsubscribe(leave)
             self._withdraw(waiter)
-            if place is None and waiter.placed.ready():
-                place = waiter.placed.get_nowait()
-        if place is not None:
-            return Ok(place)
+            if permit is None and waiter.permit.ready():
+                permit = waiter.permit.get_nowait()
+        if permit is not None:
+            return Ok(permit)
         if request.presence.gone:
             return Err(Fault(code=ResultCode.CALLER_GONE, detail="the caller left"))
-        return Err(
-            self._hint.make_refusal(ResultCode.QUEUE_TIMEOUT, "no place came free soon enough")
-        )
+        return Err(self._hint.make_refusal(ResultCode.QUEUE_TIMEOUT, "no slot became free in time"))
 
     def _withdraw(self, waiter: Waiter) -> None:
         queue = self._queues.get(waiter.request.service, {})
@@ -111,57 +112,57 @@
                 del queue[waiter.request.account_name]
 
     def _candidates(
-        self, request: RoutedRequest, avoided: frozenset[TargetIncarnation]
+        self, request: RoutedRequest, excluded: frozenset[TargetIncarnation]
     ) -> list[AnnouncedTarget]:
         usable = [
             one
             for one in self._registry.usable(request.service)
-            if one.incarnation not in avoided and not self._cold.rate_limit(one)
+            if one.incarnation not in excluded and not self._cold.rate_limit(one)
         ]
         return self._health.healthy(usable) if usable else []
 
-    def _place(self, waiter: Waiter) -> SlotPermit | None:
+    def _try_acquire(self, waiter: Waiter) -> SlotPermit | None:
         request = waiter.request
-        candidates = self._candidates(request, waiter.avoided)
+        candidates = self._candidates(request, waiter.excluded)
         target = self._choice.choose(request.affinity_key, candidates, request.head.attempt_id)
         if target is None:
             return None
         self._loads.record_start(target)
         self._usage.add(request.account_name, request.cost)
 
-        def released() -> None:
+        def on_release() -> None:
             self._loads.record_end(target)
             self._dispatch(target.service)
 
-        def unused() -> None:
+        def on_unused() -> None:
             self._usage.add(request.account_name, -request.cost)
 
-        return SlotPermit(target, released, unused=unused)
+        return SlotPermit(target, on_release, on_unused=on_unused)
 
     def _dispatch_all(self) -> None:
         for service in list(self._queues):
             self._dispatch(service)
 
     def _dispatch(self, service: str) -> None:
-        """Give free places to what waits, the neediest account first."""
+        """Give free slots to waiting requests, those of the account with the least usage first."""
         queue = self._queues.get(service)
         if not queue:
             return
-        while queue and self._serve_neediest(queue):
+        while queue and self._serve_next(queue):
             pass
 
-    def _serve_neediest(self, queue: dict[str, deque[Waiter]]) -> bool:
-        """Give one place away; false where none can be given."""
-        for account in sorted(queue, key=self._usage.level):
+    def _serve_next(self, queue: dict[str, deque[Waiter]]) -> bool:
+        """Give one slot to a waiting request; false where none can be given."""
+        for account in sorted(queue, key=self._usage.tokens):
             waiting = queue[account]
-            place = self._place(waiting[0])
-            if place is not None:
+            permit = self._try_acquire(waiting[0])
+            if permit is not None:
                 waiter = waiting.popleft()
                 if not waiting:
                     del queue[account]
-                waiter.placed.set(place)
+                waiter.permit.set(permit)
                 return True
-            if not waiting[0].avoided:
-                # No target has a place, so nobody else's request finds one either.
+            if not waiting[0].excluded:
+                # No target has a free slot, so the requests of other accounts get none either.
                 return False
         return False
--- a/packages/loomyard-router/src/loomyard_router/admission/prefill_estimate.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/prefill_estimate.py
@@ -1,21 +1,21 @@
-"""How fast a target begins its answers."""
+"""Estimated prefill speed of a target."""
 
 from __future__ import annotations
 
 from attrs import frozen
 
-# A target of which nothing is known yet.
-FIRST_DELAY = 0.015
-FIRST_PACE = 100_000.0
+# Defaults for a target without any answers yet.
+DEFAULT_DELAY = 0.015
+DEFAULT_TOKENS_PER_SECOND = 100_000.0
 
 
 @frozen
 class PrefillEstimate:
-    """A target's delay before and beside reading, in seconds, and its tokens read a second."""
+    """Fixed delay of each answer, in seconds, and prompt tokens read a second."""
 
-    delay: float = FIRST_DELAY
-    tokens_per_second: float = FIRST_PACE
+    delay: float = DEFAULT_DELAY
+    tokens_per_second: float = DEFAULT_TOKENS_PER_SECOND
 
     def seconds(self, tokens: float) -> float:
-        """Return how long the first event takes after so many tokens."""
+        """Return the time to first token where so many tokens are read before it."""
         return self.delay + tokens / self.tokens_per_second
--- a/packages/loomyard-router/src/loomyard_router/admission/serving_order.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/serving_order.py
@@ -1,4 +1,4 @@
-"""Which of those that wait at an engine is given a place next."""
+"""Order in which a slot owner serves the pending requests of an engine."""
 
 from __future__ import annotations
 
@@ -6,60 +6,62 @@
 
 from attrs import frozen
 
-from loomyard_router.admission.place_book import Objection
+from loomyard_router.admission.target_slots import RefusalReason
 
 if TYPE_CHECKING:
-    from loomyard_router.admission.place_book import Ask, PlaceBook
+    from loomyard_router.admission.target_slots import PendingRequest, TargetSlots
 
-# An account that got so many times what another one got leaves it the next gap between prompts that
-# are read. Users bound what the best served of two backlogged accounts gets by twice what the other
-# gets; half of that, as a ratio, is left for what is on its way.
-GAP_RATIO = 1.4
+# An account with this many times the usage of another one leaves the next prefill to it. Users
+# bound the usage of the better served of two backlogged accounts by twice that of the other; the
+# margin below that bound covers requests that are on their way.
+USAGE_RATIO = 1.4
 
 
 class ServingOrder(Protocol):
-    """Choose who is admitted next."""
+    """Choose which pending request gets the next slot."""
 
-    def choose(self, book: PlaceBook, now: float) -> Ask | None:
-        """Return one that waits and may be admitted, ``None`` to let all wait."""
+    def choose(self, slots: TargetSlots, now: float) -> PendingRequest | None:
+        """Return a pending request that may have a slot, ``None`` to let all wait."""
 
 
 class FirstThatFits:
-    """Admit the account that got least among those whose prompts may begin at once.
+    """Serve the account with the least usage among the requests that may have a slot now.
 
-    Engines never wait for a prompt, but small ones of one account can take each gap before a larger
-    one of another fits.
+    Engines never idle for a reserved prefill, but small prompts of one account may take all prefill
+    time before a larger prompt of another account fits.
     """
 
-    def choose(self, book: PlaceBook, now: float) -> Ask | None:
-        return next((ask for ask in book.by_level() if book.admits(ask, now)), None)
+    def choose(self, slots: TargetSlots, now: float) -> PendingRequest | None:
+        return next((one for one in slots.by_usage() if slots.admits(one, now)), None)
 
 
 @frozen
-class GapForTheLeastServed:
-    """Keep the next gap for a prompt of the account that got less, both beyond their shares.
-
-    Protects the bound on the gap between two backlogged accounts: over six seconds in which both
-    waited all through, one at 1.4 times its share got 0.38 million tokens of the 1.00 that it asked
-    for, one at 5.7 times its share 2.19 (eight routers, five engines, one play); with the gap kept
-    no two accounts came that far apart on that day. It costs engines the time until they have read
-    enough: 1 % of what was answered at all.
+class ReserveForLeastServed:
+    """Reserve the next prefill for the account with less usage, of two that are over their shares.
+
+    This keeps the users' bound on the usage of two backlogged accounts; without it small prompts
+    of one account took all prefill time, and the other got a sixth of its usage. While the prefill
+    is reserved the engine idles until the larger prompt fits, which costs 1 % of all answers.
     """
 
-    ratio: float = GAP_RATIO
+    ratio: float = USAGE_RATIO
 
-    def choose(self, book: PlaceBook, now: float) -> Ask | None:
-        kept_for: Ask | None = None
-        for ask in book.by_level():
-            objection = book.object_to(ask, now)
-            if objection is None:
-                takes_gap = kept_for is not None and ask.request.beyond
-                if takes_gap and self._got_more(ask, kept_for):
+    def choose(self, slots: TargetSlots, now: float) -> PendingRequest | None:
+        reserved_for: PendingRequest | None = None
+        for pending in slots.by_usage():
+            refusal = slots.find_refusal(pending, now)
+            if refusal is None:
+                over_share = reserved_for is not None and pending.request.over_share
+                if over_share and self._has_more_usage(pending, reserved_for):
                     return None
-                return ask
-            if objection is Objection.READING and ask.request.beyond and kept_for is None:
-                kept_for = ask
+                return pending
+            if (
+                refusal is RefusalReason.PREFILL
+                and pending.request.over_share
+                and reserved_for is None
+            ):
+                reserved_for = pending
         return None
 
-    def _got_more(self, ask: Ask, other: Ask | None) -> bool:
-        return other is not None and ask.request.level > self.ratio * other.request.level
+    def _has_more_usage(self, pending: PendingRequest, other: PendingRequest | None) -> bool:
+        return other is not None and pending.request.usage > self.ratio * other.request.usage
--- a/packages/loomyard-router/src/loomyard_router/admission/share_ledger.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/share_ledger.py
@@ -1,4 +1,4 @@
-"""What each client account got over the whole fleet, and whether that is beyond its share."""
+"""Usage of client accounts over the whole fleet, compared with their shares."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from result import Ok
 
 from loomyard_router.admission.account_usage import AccountUsage
-from loomyard_router.admission.fair_share import find_water_level
+from loomyard_router.admission.fair_share import find_max_min_share
 from loomyard_router.admission.gap_bound import GapBound, NoGapBound
-from loomyard_router.admission.share_messages import NO_SHARE, ShareWord, UsageReport
+from loomyard_router.admission.share_messages import NO_SHARE, ShareReply, UsageReport
 from loomyard_router.admission.share_tree import find_parent
 
 if TYPE_CHECKING:
@@ -24,33 +24,34 @@
     from loomyard_router.members.membership import Member, Membership
     from loomyard_router.peers.links import PeerLinks
 
-# A sixteenth of the users' share window of 4 s: a burst is known everywhere after two or three.
+# A sixteenth of the share window of 4 s: a burst is known everywhere after two or three reports.
 REPORT_SECONDS = 0.25
 REPLY_SECONDS = 0.2
-# Four reports that did not come: their router is cut off, or reports elsewhere.
-STALE_SECONDS = 1.0
-# A word that is older says nothing of a burst that has begun meanwhile.
-STALE_WORD_SECONDS = 2.0
-# Who asks beyond its share is among those that ask most; the others need not be named.
-MOST_ACCOUNTS = 64
-# Less than this above a share may be the lag of reports: 0.75 s of a burst in a window of 4 s.
-FAR_BEYOND = 1.2
+# After four missed reports: that router is cut off, or reports to another one.
+REPORT_EXPIRY_SECONDS = 1.0
+# An older reply says nothing of a burst that has begun since.
+REPLY_EXPIRY_SECONDS = 2.0
+# An account over its share is among those with the largest demand, so the others need no entry.
+MAX_ACCOUNTS = 64
+# A usage below this multiple of the share may be due to the delay of reports: 0.75 s of a burst in
+# a window of 4 s.
+FAR_OVER_RATIO = 1.2
 
 
 @frozen
-class _Heard:
+class _ReceivedReport:
     report: UsageReport
     at: float
 
 
 class ShareLedger:
-    """Sum up over the fleet what accounts ask and get; judge each by its max-min share.
+    """Sum up demand and usage of accounts over the fleet, and compute their max-min share.
 
-    Routers report up a tree of two levels and hear back the share and the sums of their accounts.
-    Reports carry whole sums of a decaying window, so a lost one, or a new router at the top, is
-    made good by the next. A router that hears nothing takes nobody for beyond its share.
+    Routers report up a tree of two levels; the replies carry the share and the fleet's usage of
+    the accounts reported. Reports carry whole decaying sums, so the next one makes up for a lost
+    report or a new root. Without recent replies a router takes no account to be over its share.
 
-    ``window`` is in seconds; ``rate`` gives the tokens a second to be shared, 0 where the
+    ``window`` is in seconds; ``rate`` returns the tokens a second to be shared, 0 where the
     configuration states none.
     """
 
@@ -62,7 +63,7 @@
         peers: PeerLinks,
         window: float,
         rate: Callable[[], float],
-        source: random.Random,
+        rng: random.Random,
         bound: GapBound | None = None,
     ) -> None:
         self._clock = clock
@@ -71,160 +72,170 @@
         self._peers = peers
         self._window = window
         self._rate = rate
-        self._random = source
-        self._asked = AccountUsage(clock, window)
-        self._given = AccountUsage(clock, window)
-        # What was given after the last report, which the word from above does not count yet.
-        self._since = AccountUsage(clock, window)
-        self._heard: dict[str, _Heard] = {}
-        self._word = ShareWord()
-        self._word_at = -math.inf
+        self._rng = rng
+        self._demand = AccountUsage(clock, window)
+        self._usage = AccountUsage(clock, window)
+        # Usage since the last report, which the last reply does not include.
+        self._unreported = AccountUsage(clock, window)
+        self._reports: dict[str, _ReceivedReport] = {}
+        self._reply = ShareReply()
+        self._reply_at = -math.inf
         self._parent: str | None = None
         self._task: gevent.Greenlet | None = None
-        peers.handle(UsageReport, self.take_report)
-        members.subscribe(self._move)
-        self._move()
+        peers.handle(UsageReport, self.handle_report)
+        members.subscribe(self._update_parent)
+        self._update_parent()
 
     def start(self) -> None:
-        """Start to report."""
+        """Start to report periodically."""
         self._task = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End."""
+        """Stop reporting."""
         if self._task is not None:
             self._task.kill(block=False)
 
-    def ask(self, account: str, cost: float) -> None:
-        """Count work that an account wants, whether it gets it or not; in tokens."""
-        self._asked.add(account, cost)
+    def record_demand(self, account: str, cost: float) -> None:
+        """Count work that an account asks for, granted or not; in tokens."""
+        self._demand.add(account, cost)
 
-    def give(self, account: str, cost: float) -> None:
-        """Count work that an account gets, in tokens."""
-        self._given.add(account, cost)
-        self._since.add(account, cost)
+    def record_usage(self, account: str, cost: float) -> None:
+        """Count work that an account is granted, in tokens."""
+        self._usage.add(account, cost)
+        self._unreported.add(account, cost)
 
-    def take_back(self, account: str, cost: float) -> None:
-        """Count work no more that an account did not get, as nothing ran."""
-        self._given.add(account, -cost)
-        self._since.add(account, -cost)
+    def refund(self, account: str, cost: float) -> None:
+        """Take back the usage of a request that did not run, in tokens."""
+        self._usage.add(account, -cost)
+        self._unreported.add(account, -cost)
 
     def usage(self, account: str) -> float:
-        """Return what an account got lately in the whole fleet, in tokens."""
-        if self._stale:
-            return self._given.level(account)
-        told = self._word.given.get(account, 0) * self._decay(self._word_at)
-        return max(self._given.level(account), told + self._since.level(account))
+        """Return the recent usage of an account in the whole fleet, in tokens."""
+        if self._is_stale:
+            return self._usage.tokens(account)
+        replied = self._reply.usage.get(account, 0) * self._decay(self._reply_at)
+        return max(self._usage.tokens(account), replied + self._unreported.tokens(account))
 
     def share_used(self, account: str) -> float | None:
-        """Return what an account got lately in parts of its share; ``None`` where none is known."""
-        if self._stale or self._word.share == NO_SHARE:
+        """Return the usage of an account as a multiple of its share, ``None`` where not known."""
+        if self._is_stale or self._reply.share == NO_SHARE:
             return None
-        return self.usage(account) / max(1, self._word.share)
+        return self.usage(account) / max(1, self._reply.share)
 
-    def beyond(self, account: str) -> bool:
-        """Tell whether an account has had its share."""
+    def is_over_share(self, account: str) -> bool:
+        """Tell whether an account is over its share of the stated rate."""
         used = self.share_used(account)
         return used is not None and used > 1.0
 
     def is_far_over_share(self, account: str) -> bool:
-        """Tell whether an account got so much that it may have only what nobody waits for.
+        """Tell whether an account may get only capacity that no other request waits for.
 
-        That is measured by what engines do in fact. Where they do twice the stated rate, many
-        accounts are beyond their share of that, and these too must get about the same.
+        This compares with the share of the tokens that engines serve in fact. Where they serve
+        twice the stated rate, many accounts are over their shares of that, and these have to get
+        about the same as each other.
         """
-        if self._stale or self._word.reached == NO_SHARE:
+        if self._is_stale or self._reply.served_share == NO_SHARE:
             return False
-        return self.usage(account) > FAR_BEYOND * self._word.reached
+        return self.usage(account) > FAR_OVER_RATIO * self._reply.served_share
 
     def exceeds_usage_cap(self, account: str) -> bool:
-        """Tell whether an account got so much more than another one that waits that it pauses."""
-        if self._stale or self._word.most == NO_SHARE:
+        """Tell whether an account is refused for now, for a backlogged one with much less usage."""
+        if self._is_stale or self._reply.usage_cap == NO_SHARE:
             return False
-        return self.usage(account) > self._word.most
-
-    def take_report(self, member: Member, report: UsageReport) -> ShareWord:
-        """Take in the sums of another router; answer with what is known here."""
-        self._heard[member.name] = _Heard(report, self._clock.now())
-        if self._stale:
-            return ShareWord()
-        decay = self._decay(self._word_at)
-        share = math.inf if self._word.share == NO_SHARE else self._word.share
-        told = {name: round(cost * decay) for name, cost in self._word.given.items()}
-        # Who is beyond its share is told to all: its next request may come to any router.
-        given = {name: cost for name, cost in told.items() if name in report.asked or cost > share}
-        return ShareWord(
-            share=self._word.share,
-            reached=self._word.reached,
-            most=self._word.most,
-            given=given,
+        return self.usage(account) > self._reply.usage_cap
+
+    def handle_report(self, member: Member, report: UsageReport) -> ShareReply:
+        """Store the sums of another router and reply with what is known here."""
+        self._reports[member.name] = _ReceivedReport(report, self._clock.now())
+        if self._is_stale:
+            return ShareReply()
+        decay = self._decay(self._reply_at)
+        share = math.inf if self._reply.share == NO_SHARE else self._reply.share
+        known = {name: round(cost * decay) for name, cost in self._reply.usage.items()}
+        # All routers get the accounts over their shares: their next request may come to any router.
+        usage = {
+            name: cost for name, cost in known.items() if name in report.demand or cost > share
+        }
+        return ShareReply(
+            share=self._reply.share,
+            served_share=self._reply.served_share,
+            usage_cap=self._reply.usage_cap,
+            usage=usage,
         )
 
     def step(self) -> None:
-        """Report upwards and take the word from there; at the top judge."""
-        report = self._sum_up()
-        reported, self._since = self._since, AccountUsage(self._clock, self._window)
-        word = self._judge(report) if self._parent is None else self._report(self._parent, report)
-        if word is None:
-            for account, cost in reported.levels().items():
-                self._since.add(account, cost)
+        """Report to the parent and store its reply; at the root compute the shares."""
+        report = self._aggregate()
+        reported, self._unreported = self._unreported, AccountUsage(self._clock, self._window)
+        reply = (
+            self._compute_shares(report)
+            if self._parent is None
+            else self._send_report(self._parent, report)
+        )
+        if reply is None:
+            for account, cost in reported.all_tokens().items():
+                self._unreported.add(account, cost)
             return
-        self._word = word
-        self._word_at = self._clock.now()
+        self._reply = reply
+        self._reply_at = self._clock.now()
 
     @property
-    def _stale(self) -> bool:
-        return self._clock.now() - self._word_at > STALE_WORD_SECONDS
+    def _is_stale(self) -> bool:
+        return self._clock.now() - self._reply_at > REPLY_EXPIRY_SECONDS
 
     def _decay(self, since: float) -> float:
         return math.exp(-max(0.0, self._clock.now() - since) / self._window)
 
-    def _sum_up(self) -> UsageReport:
-        asked, given = Counter(self._asked.levels()), Counter(self._given.levels())
-        oldest = self._clock.now() - STALE_SECONDS
+    def _aggregate(self) -> UsageReport:
+        demand, usage = Counter(self._demand.all_tokens()), Counter(self._usage.all_tokens())
+        oldest = self._clock.now() - REPORT_EXPIRY_SECONDS
         live = {member.name for member in self._members.live()}
-        summed = False
-        for name, heard in list(self._heard.items()):
-            if heard.at < oldest or name not in live:
-                del self._heard[name]
-            elif self._parent is None or not heard.report.summed:
-                # In the middle only what others saw themselves counts: while views differ, two
-                # routers may report to each other.
-                summed = True
-                decay = self._decay(heard.at)
-                for sums, told in ((asked, heard.report.asked), (given, heard.report.given)):
-                    sums.update({account: cost * decay for account, cost in told.items()})
-        most = len(asked) if self._parent is None else MOST_ACCOUNTS
-        named = [account for account, _ in asked.most_common(most)]
+        aggregated = False
+        for name, received in list(self._reports.items()):
+            if received.at < oldest or name not in live:
+                del self._reports[name]
+            elif self._parent is None or not received.report.aggregated:
+                # Below the root only reports without those of others count: while the routers'
+                # views of the members differ, two of them may report to each other.
+                aggregated = True
+                decay = self._decay(received.at)
+                for sums, reported in (
+                    (demand, received.report.demand),
+                    (usage, received.report.usage),
+                ):
+                    sums.update({account: cost * decay for account, cost in reported.items()})
+        limit = len(demand) if self._parent is None else MAX_ACCOUNTS
+        named = [account for account, _ in demand.most_common(limit)]
         return UsageReport(
-            asked={account: round(asked[account]) for account in named},
-            given={account: round(given[account]) for account in named if account in given},
-            summed=summed,
+            demand={account: round(demand[account]) for account in named},
+            usage={account: round(usage[account]) for account in named if account in usage},
+            aggregated=aggregated,
         )
 
-    def _judge(self, report: UsageReport) -> ShareWord:
+    def _compute_shares(self, report: UsageReport) -> ShareReply:
         capacity = self._rate() * self._window
         if not capacity:
-            return ShareWord(given=report.given)
-        done = max(capacity, sum(report.given.values()))
-        reached = find_water_level(report.asked, done)
-        return ShareWord(
-            share=round(find_water_level(report.asked, capacity)),
-            reached=round(reached),
-            most=self._bound.find_most(report.asked, report.given, reached),
-            given=report.given,
+            return ShareReply(usage=report.usage)
+        served = max(capacity, sum(report.usage.values()))
+        served_share = find_max_min_share(report.demand, served)
+        return ShareReply(
+            share=round(find_max_min_share(report.demand, capacity)),
+            served_share=round(served_share),
+            usage_cap=self._bound.find_cap(report.demand, report.usage, served_share),
+            usage=report.usage,
         )
 
-    def _report(self, parent: str, report: UsageReport) -> ShareWord | None:
+    def _send_report(self, parent: str, report: UsageReport) -> ShareReply | None:
         match self._peers.request(parent, report, self._clock.now() + REPLY_SECONDS):
-            case Ok(ShareWord() as word):
-                return word
+            case Ok(ShareReply() as reply):
+                return reply
         return None
 
-    def _move(self) -> None:
+    def _update_parent(self) -> None:
         names = [member.name for member in self._members.live()]
         self._parent = find_parent(self._members.own.name, names)
 
     def _run(self) -> None:
         while True:
-            self._clock.sleep(REPORT_SECONDS * self._random.uniform(0.8, 1.2))
+            self._clock.sleep(REPORT_SECONDS * self._rng.uniform(0.8, 1.2))
             self.step()
--- a/packages/loomyard-router/src/loomyard_router/admission/share_messages.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/share_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which routers sum up what client accounts asked and got."""
+"""Messages by which routers sum up the demand and usage of client accounts."""
 
 from __future__ import annotations
 
@@ -6,35 +6,36 @@
 
 from loomyard_router.peers.message_types import peer_message
 
-# No share is known: nobody is beyond it.
+# No share is known, so no account is over its share.
 NO_SHARE = -1
 
 
 @peer_message("ur")
 @frozen(kw_only=True)
 class UsageReport:
-    """What accounts asked and got lately, in tokens, at the sender and those that report to it.
+    """Recent demand and usage of accounts, in tokens, at the sender and at those reporting to it.
 
-    ``summed`` says that reports of other routers are in it. Only the accounts that asked most are
-    named.
+    ``aggregated`` tells that reports of other routers are included. Only the accounts with the
+    largest demand are named.
     """
 
-    asked: dict[str, int]
-    given: dict[str, int]
-    summed: bool = False
+    demand: dict[str, int]
+    usage: dict[str, int]
+    aggregated: bool = False
 
 
 @peer_message("uw")
 @frozen(kw_only=True)
-class ShareWord:
-    """The max-min share of each account over the fleet, and what the accounts reported got there.
+class ShareReply:
+    """Max-min share of each account in the fleet, and the usage there of the accounts reported.
 
-    All in tokens of the share window. ``share`` is of the stated rate, ``reached`` of what was
-    given in fact where that was more; ``most`` is what an account may have got to be admitted while
-    another one that got little waits. Each is ``NO_SHARE`` where none is known.
+    All in tokens of the share window, with ``NO_SHARE`` for what is not known. ``share`` is the
+    share of the stated rate; ``served_share`` that of the tokens served in fact, where that is
+    more. ``usage_cap`` is the usage up to which accounts are admitted while another one with little
+    usage is backlogged.
     """
 
     share: int = NO_SHARE
-    reached: int = NO_SHARE
-    most: int = NO_SHARE
-    given: dict[str, int] = field(factory=dict)
+    served_share: int = NO_SHARE
+    usage_cap: int = NO_SHARE
+    usage: dict[str, int] = field(factory=dict)
--- a/packages/loomyard-router/src/loomyard_router/admission/share_tree.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/share_tree.py
@@ -1,4 +1,4 @@
-"""Who sums up whose reports: in two levels, so that nobody hears much more than a root."""
+"""Tree of at most two levels in which usage reports are summed up, which bounds the fan-in."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
     from collections.abc import Sequence
 
 KEY = "shares"
-# A fleet up to this size reports to one router at once; that is 60 short messages a second for it.
-FLAT_ROUTERS = 16
+# In a fleet up to this size all report to one router, which gets 60 short messages a second.
+MAX_FLAT_ROUTERS = 16
 
 
 def find_parent(own: str, names: Sequence[str]) -> str | None:
-    """Return the router that this one reports to; ``None`` at the top."""
+    """Return the router that this one reports to, ``None`` for the root."""
     ranked = rank(KEY, names)
-    top = ranked[0]
-    if own == top:
+    root = ranked[0]
+    if own == root:
         return None
-    if len(ranked) <= FLAT_ROUTERS:
-        return top
+    if len(ranked) <= MAX_FLAT_ROUTERS:
+        return root
     middle = ranked[1 : 1 + math.ceil(math.sqrt(len(ranked)))]
-    return top if own in middle else rank(own, middle)[0]
+    return root if own in middle else rank(own, middle)[0]
--- a/packages/loomyard-router/src/loomyard_router/admission/slot_metrics.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/slot_metrics.py
@@ -1,4 +1,4 @@
-"""What operators see of places: how fast targets begin answers, and why places were refused."""
+"""Metrics of slots: prefill estimates of targets, refusals, and unresponsive slot owners."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 @frozen(kw_only=True)
 class SlotMetrics:
-    """Reads for metrics: ``paces`` by targets' lives, ``objections`` counted since the start.
+    """Callables that are read when metrics are scraped.
 
-    ``silent`` is how many keepers of places do not answer this router.
+    ``refusals`` counts refused slots by refusal reason since the start; ``unresponsive_owners`` is
+    the number of slot owners that do not answer this router.
     """
 
     prefill_estimates: Callable[[], Mapping[TargetIncarnation, PrefillEstimate]] = dict
--- a/packages/loomyard-router/src/loomyard_router/admission/slot_permit.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/slot_permit.py
@@ -1,4 +1,4 @@
-"""The right to send one request to one target."""
+"""Permit to run one request at one target."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class SlotPermit:
-    """A place at a target until it is released, which may be done more than once.
+    """A slot of a target, held until it is released; releasing it again has no effect.
 
-    ``taken`` is how many were in use with it, -1 where nobody counts them; ``choice`` is the rank
-    of the target for the prompt, -1 where there is no rank; ``expected`` is in how many seconds its
-    keeper expects the first event, 0 where nobody predicts it.
+    ``taken`` is the number of slots in use including this one, -1 where they are not counted;
+    ``choice`` is the rank of the target for the prompt, -1 without a ranking; ``expected`` is the
+    time to first token predicted by the slot owner, in seconds, 0 without a prediction.
     """
 
     def __init__(
         self,
         target: AnnouncedTarget,
-        released: Callable[[], None],
+        on_release: Callable[[], None],
         *,
-        answered: Callable[[], None] | None = None,
-        unused: Callable[[], None] | None = None,
+        on_answer: Callable[[], None] | None = None,
+        on_unused: Callable[[], None] | None = None,
         slots_in_use: int = -1,
         target_rank: int = -1,
         expected_ttft: float = 0.0,
@@ -33,24 +33,24 @@
         self.taken = slots_in_use
         self.choice = target_rank
         self.expected = expected_ttft
-        self._released: Callable[[], None] | None = released
-        self._answered = answered
-        self._unused = unused
+        self._on_release: Callable[[], None] | None = on_release
+        self._on_answer = on_answer
+        self._on_unused = on_unused
 
     def record_answer_start(self) -> None:
-        """Take in that the answer began, so the prompt was read."""
-        if self._answered is not None:
-            self._answered()
+        """Record that the answer has begun, so the prompt has been read."""
+        if self._on_answer is not None:
+            self._on_answer()
 
     def release(self) -> None:
-        """Give the place back."""
-        released, self._released = self._released, None
-        if released is not None:
-            released()
+        """Return the slot."""
+        on_release, self._on_release = self._on_release, None
+        if on_release is not None:
+            on_release()
 
     def return_unused(self) -> None:
-        """Give the place back; nothing ran there, so its account got nothing."""
+        """Return the slot where nothing ran, and take its cost back from the account's usage."""
         self.release()
-        unused, self._unused = self._unused, None
-        if unused is not None:
-            unused()
+        on_unused, self._on_unused = self._on_unused, None
+        if on_unused is not None:
+            on_unused()
--- a/packages/loomyard-router/src/loomyard_router/admission/target_choice.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/target_choice.py
@@ -1,4 +1,4 @@
-"""Choose a target by what it keeps of the prompt, within a bound on its load."""
+"""Choose a target by its cached prompt prefixes, within a bound on its load."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
     from loomyard_router.admission.target_loads import TargetLoads
     from loomyard_router.announced.announced_target import AnnouncedTarget
 
-# Above this many times the mean load, a target is passed over for the next one in its rank.
+# A target is skipped where its load exceeds LOAD_BOUND times the mean plus LOAD_SLACK requests.
 LOAD_BOUND = 1.3
 LOAD_SLACK = 2.0
 
 
 class TargetChoice:
-    """Rendezvous hashing with bounded loads; the least loaded one where there is no prompt."""
+    """Rendezvous hashing with bounded loads, or the least loaded target without a prompt."""
 
     def __init__(self, loads: TargetLoads) -> None:
         self._loads = loads
 
     def choose(
-        self, affinity: str, targets: Sequence[AnnouncedTarget], key: str
+        self, affinity_key: str, targets: Sequence[AnnouncedTarget], key: str
     ) -> AnnouncedTarget | None:
-        """Return a target with a free place, or ``None``; ``key`` settles ties."""
+        """Return a target with a free slot, or ``None``; ``key`` breaks ties of equal load."""
         free = [target for target in targets if self._loads.has_free_slot(target)]
         if not free:
             return None
         if len(free) == 1:
             return free[0]
-        if not affinity:
+        if not affinity_key:
             order = rank(key, [target.id for target in free])
-            place = {target_id: number for number, target_id in enumerate(order)}
-            return min(free, key=lambda one: (self._loads.running(one), place[one.id]))
+            position = {target_id: number for number, target_id in enumerate(order)}
+            return min(free, key=lambda one: (self._loads.running(one), position[one.id]))
         by_id = {target.id: target for target in free}
         mean = sum(self._loads.running(target) for target in targets) / len(targets)
         bound = LOAD_BOUND * mean + LOAD_SLACK
-        ranked = [by_id[target_id] for target_id in rank(affinity, by_id)]
+        ranked = [by_id[target_id] for target_id in rank(affinity_key, by_id)]
         for target in ranked:
             if self._loads.running(target) < bound:
                 return target
--- a/packages/loomyard-router/src/loomyard_router/admission/waiter.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/waiter.py
@@ -1,4 +1,4 @@
-"""A request that waits for a place."""
+"""A request that waits for a slot at a local gate."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 @define(eq=False)
 class Waiter:
-    """A request, the targets that failed it, and its place once it has one."""
+    """A request, the targets it must not get, and ``permit``, set to ``None`` to end the wait."""
 
     request: RoutedRequest
-    avoided: frozenset[TargetIncarnation]
-    placed: AsyncResult = field(factory=AsyncResult)
+    excluded: frozenset[TargetIncarnation]
+    permit: AsyncResult = field(factory=AsyncResult)
--- a/tests/test_loomyard_router/test_admission/slots_case.py
+++ b/tests/test_loomyard_router/test_admission/slots_case.py
@@ -1,4 +1,4 @@
-"""Routers that share the places of some engines."""
+"""Fixture: routers that share the slots of some engines."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from loomyard_router.admission.account_backlog import AccountBacklog
 from loomyard_router.admission.ejection_tracker import EjectionTracker
 from loomyard_router.admission.fleet_gate import FleetGate
-from loomyard_router.admission.place_client import PlaceClient
-from loomyard_router.admission.place_keeper import PlaceKeeper
 from loomyard_router.admission.share_ledger import ShareLedger
+from loomyard_router.admission.slot_client import SlotClient
+from loomyard_router.admission.slot_owner import SlotOwner
+from loomyard_router.admission.target_estimates import TargetEstimates
 from loomyard_router.admission.target_loads import TargetLoads
-from loomyard_router.admission.target_paces import TargetPaces
 from loomyard_router.admission.waiting_time import RetryHint
 from loomyard_router.announced.announced_target import AnnouncedTarget
 from loomyard_router.announced.cold_targets import ColdTargets
@@ -31,13 +31,13 @@
 from test_loomyard_router.test_routed.routed_case import route
 
 SLOTS = 4
-# What a cold engine bears, and for how long it is cold after its start.
+# Requests a second that a cold engine can take, and how long it is cold after its start.
 COLD_PER_SECOND = 18.0
 COLD_SECONDS = 3.0
 
 
 def make_table() -> RouteTable:
-    """Make a configuration with one service of engines."""
+    """Return a configuration with one service of engines."""
     terms = ServiceTerms(
         name="engine",
         engine=EngineTerms(slots=SLOTS),
@@ -48,7 +48,7 @@
 
 
 class Members(SoleMembership):
-    """A membership whose live routers a test sets."""
+    """Membership whose live routers are set by a test."""
 
     def __init__(self, own: Member, live: list[Member]) -> None:
         super().__init__(own)
@@ -58,17 +58,17 @@
     def live(self) -> tuple[Member, ...]:
         return tuple(self._live)
 
-    def subscribe(self, changed: object) -> None:
-        self._listeners.append(changed)
+    def subscribe(self, on_change: object) -> None:
+        self._listeners.append(on_change)
 
     def change(self, live: list[Member]) -> None:
         self._live = live
-        for changed in self._listeners:
-            changed()
+        for on_change in self._listeners:
+            on_change()
 
 
 class Router:
-    """The parts of one router that deal with places."""
+    """The components of one router that deal with slots."""
 
     def __init__(self, own: Member, fleet: Fleet) -> None:
         clock = fleet.clock
@@ -77,14 +77,14 @@
         self.registry = TargetRegistry(clock)
         self.registry.replace_all(fleet.targets)
         self.cold = ColdTargets(clock, self.registry, fleet.holder)
-        self.paces = TargetPaces()
-        self.keeper = PlaceKeeper(
+        self.estimates = TargetEstimates()
+        self.slot_owner = SlotOwner(
             clock=clock,
             registry=self.registry,
             members=self.members,
             peers=self.peers,
             cold=self.cold,
-            paces=self.paces,
+            estimates=self.estimates,
         )
         self.ledger = ShareLedger(
             clock=clock,
@@ -92,14 +92,14 @@
             peers=self.peers,
             window=4.0,
             rate=lambda: fleet.rate,
-            source=random.Random(1),
+            rng=random.Random(1),
         )
-        self.client = PlaceClient(
+        self.client = SlotClient(
             clock=clock,
             members=self.members,
             peers=self.peers,
-            keeper=self.keeper,
-            paces=self.paces,
+            local_owner=self.slot_owner,
+            estimates=self.estimates,
         )
         self.gate = FleetGate(
             clock=clock,
@@ -108,15 +108,15 @@
             loads=TargetLoads(lambda: len(fleet.members)),
             client=self.client,
             ledger=self.ledger,
-            waiting=AccountBacklog(self.ledger),
+            backlog=AccountBacklog(self.ledger),
             hint=RetryHint(random.Random(1)),
             cold=self.cold,
-            paces=self.paces,
+            estimates=self.estimates,
         )
 
 
 class Fleet:
-    """Some routers, three unless said, and some engines."""
+    """Routers, three by default, and engines."""
 
     def __init__(self, engines: int, routers: int = 3, slots: int = SLOTS) -> None:
         self.clock = FakeClock()
@@ -134,7 +134,7 @@
         self.routers = [Router(member, self) for member in self.members]
 
     def report(self) -> None:
-        """Let all routers tell each other what accounts got."""
+        """Let all routers report the usage of accounts to each other."""
         for _ in range(3):
             for router in self.routers:
                 router.ledger.step()
