--- a/packages/loomyard-router/src/loomyard_router/admission/prefill_queue.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/prefill_queue.py
@@ -23,10 +23,10 @@
 class PrefillQueue:
     """Predict the time to first token of a prompt that is sent to a target now.
 
-    Targets read prompts in the order in which they are sent. Where the oldest one is overdue, the
+    Targets read prompts in the order in which they are sent. If the oldest one is overdue, the
     target is slow at the moment, whatever its earlier answers suggest, and the time overdue is
-    added. A prompt is taken to hold up nothing (it is passed) once a later one has its first token,
-    or once it is overdue beyond the limit for outliers: its answer is lost or still on its way.
+    added. A prompt is passed, so that it no longer delays others, once a later one has its first
+    token, or once it is overdue beyond the limit for outliers: its answer is lost or on its way.
     """
 
     model: FirstTokenModel = field(factory=FirstTokenModel)
--- a/packages/loomyard-router/src/loomyard_router/admission/share_ledger.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/share_ledger.py
@@ -130,16 +130,16 @@
     def is_far_over_share(self, account: str) -> bool:
         """Tell whether an account may get only capacity that no other request waits for.
 
-        This compares with the share of the tokens that engines serve in fact. Where they serve
-        twice the stated rate, many accounts are over their shares of that, and these have to get
-        about the same as each other.
+        The usage is compared with the share of the tokens that engines serve in fact. Where these
+        are twice the stated rate, many accounts are over their shares of the stated rate, and they
+        still have to get about the same as each other.
         """
         if self._is_stale or self._reply.served_share == NO_SHARE:
             return False
         return self.usage(account) > FAR_OVER_RATIO * self._reply.served_share
 
     def exceeds_usage_cap(self, account: str) -> bool:
-        """Tell whether an account is refused for now, for a backlogged one with much less usage."""
+        """Tell whether an account is over the cap set for a backlogged one with less usage."""
         if self._is_stale or self._reply.usage_cap == NO_SHARE:
             return False
         return self.usage(account) > self._reply.usage_cap
--- a/packages/loomyard-router/src/loomyard_router/admission/slot_owner.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/slot_owner.py
@@ -87,7 +87,7 @@
         """Grant a slot, waiting for one up to the request's ``wait_ms``."""
         slots = self._open(request.target, request.slots)
         slots.slots = request.slots
-        # Either of the two may not have been told yet that the target is cold.
+        # Either router may not know yet that the target is cold.
         slots.cold_limiter.per_second = request.cold_rate or self._cold_rate(request.target)
         permit = (member.name, member.incarnation, request.permit)
         pending = PendingRequest(
@@ -178,8 +178,8 @@
 
     def _wait(self, slots: TargetSlots, pending: PendingRequest) -> bool:
         slots.pending.append(pending)
-        # This request may be served though others wait: for the prefill of a larger prompt, or
-        # since their accounts may use only a fraction of the slots.
+        # This request may fit though others wait: they may have larger prompts, or accounts that
+        # are over their shares.
         self._serve(slots)
         try:
             if pending.request.wait_ms and not pending.granted.ready():
--- a/packages/loomyard-router/src/loomyard_router/admission/target_slots.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/target_slots.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# A grant may still be on its way to the router when that renews its permits.
+# A renewal may have been sent before the router received its latest grants.
 GRANT_DELIVERY_SECONDS = 0.5
 # Accounts at twice their share may use this fraction of the slots; less than half would leave the
 # target idle.
@@ -105,8 +105,8 @@
         if request.over_share and (request.unshared_part, request.prompt_tokens) in self._refused:
             # Mostly this is a retry by the caller and late already, so it must not take prefill
             # time from requests that can still be answered in time. It gets a slot only where no
-            # prompt is being read. The second request of a first attempt to this target looks the
-            # same and is refused as well.
+            # prompt is being read. The second request that a first attempt sends to this target
+            # looks the same and is refused as well.
             return RefusalReason.RETRY
         uncached = request.prompt_tokens - self.prefix_cache.cached_tokens(request.shared_parts)
         if self.prefills.time_to_first_token(uncached, now) > pending.first_token_by - now:
--- a/packages/loomyard-router/src/loomyard_router/admission/waiting_time.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/waiting_time.py
@@ -13,8 +13,8 @@
     from loomyard.errors import ResultCode
     from loomyard_router.routed.routed_request import RoutedRequest
 
-# As fractions of the route's objective. A request that is refused after 0.18 of it can still be
-# answered in time by another router; after a quarter the refusal reaches its caller too late.
+# Fractions of the route's objective. A request refused by then can still be answered in time by
+# another router; after a quarter of the objective the refusal would reach the caller too late.
 WAIT_FRACTION = 0.18
 # A request of an account within its share gets a slot sooner or later, while a second attempt would
 # be late, so it waits longer. It matters most while prefixes are not cached yet and prompts have to
--- a/tests/test_loomyard_router/test_admission/test_gap_bound.py
+++ b/tests/test_loomyard_router/test_admission/test_gap_bound.py
@@ -20,7 +20,7 @@
 ROUNDS = 120
 TICK = 0.1
 # Requests in each tick: of the account that uses all routers, and of the one that uses one.
-SPREAD, SINGLE = 12, 2
+SPREAD, ALONE = 12, 2
 # Requests that engines serve in a tick.
 SLOTS = 2
 
@@ -30,11 +30,11 @@
 
     def play(self) -> dict[str, float]:
         """Let both accounts send requests all the time; return the usage of each."""
-        usage = {"spread": 0.0, "single": 0.0}
+        usage = {"spread": 0.0, "alone": 0.0}
         for tick in range(ROUNDS):
             self.clock.advance(TICK)
             requests = [("spread", number) for number in range(SPREAD)]
-            requests += [("single", 0)] * SINGLE
+            requests += [("alone", 0)] * ALONE
             free = SLOTS
             for turn in range(len(requests)):
                 account, router = requests[(turn + 5 * tick) % len(requests)]
--- a/tests/test_loomyard_router/test_admission/test_slots.py
+++ b/tests/test_loomyard_router/test_admission/test_slots.py
@@ -38,7 +38,7 @@
         self.assertTrue(self.acquire(1).is_err())
 
     def test_while_the_slot_owner_is_unresponsive_a_router_waits_for_its_quota(self) -> None:
-        """A router that all callers of an account used refused them at once, half within 28 ms."""
+        """Otherwise a router that gets all callers of an account refuses half within 28 ms."""
         incarnation = self.fleet.targets[0].incarnation
         owner = self.fleet.routers[0].client.owner_of(incarnation)
         router = next(one for one in self.fleet.routers if one.members.own.name != owner)
--- a/tests/test_loomyard_router/test_admission/test_small_prompts.py
+++ b/tests/test_loomyard_router/test_admission/test_small_prompts.py
@@ -35,7 +35,7 @@
         self.slot_owner = self.fleet.routers[0].slot_owner
         self.member = self.fleet.routers[0].members.own
         self.permits = 0
-        self.tokens = {"many": 0, "other": 0}
+        self.tokens = {"crowd": 0, "other": 0}
         self.unread: list[list[int]] = []
         self.ends: list[tuple[int, int]] = []
         self.waiting: list[gevent.Greenlet] = []
@@ -87,8 +87,8 @@
                 )
                 gevent.sleep(0)
             if now % REQUEST_EVERY == 0:
-                self.request("many", prompt_tokens=800, usage=1000, wait_ms=0)
-        self.assertGreaterEqual(self.tokens["other"], self.tokens["many"] / 2)
+                self.request("crowd", prompt_tokens=800, usage=1000, wait_ms=0)
+        self.assertGreaterEqual(self.tokens["other"], self.tokens["crowd"] / 2)
 
 
 if __name__ == "__main__":
--- a/tests/test_loomyard_router/test_admission/test_usable_fraction.py
+++ b/tests/test_loomyard_router/test_admission/test_usable_fraction.py
@@ -21,7 +21,7 @@
 HELD_SECONDS = 2.0
 WINDOW = 4.0
 # Requests in each step: of the account that uses all routers, and of the one that uses one.
-SPREAD, SINGLE = 12, 2
+SPREAD, ALONE = 12, 2
 # The users' bound on the ratio of the usage of two backlogged accounts.
 BOUND = 2.0
 
@@ -43,8 +43,8 @@
 
     def setUp(self) -> None:
         self.slots = TargetSlots(SLOTS)
-        self.share_used = {"spread": 0.0, "single": 0.0}
-        self.granted = {"spread": 0, "single": 0}
+        self.share_used = {"spread": 0.0, "alone": 0.0}
+        self.granted = {"spread": 0, "alone": 0}
         self.ends: list[tuple[float, tuple[str, int, int]]] = []
         self.permits = 0
 
@@ -77,7 +77,7 @@
                 if end <= now:
                     self.slots.release(permit)
             self.ends = [one for one in self.ends if one[0] > now]
-            requests = ["spread"] * SPREAD + ["single"] * SINGLE
+            requests = ["spread"] * SPREAD + ["alone"] * ALONE
             for turn in range(len(requests)):
                 self.request(requests[(turn + 5 * step) % len(requests)], now)
             for account in self.share_used:
@@ -90,7 +90,7 @@
         )
 
     def test_an_account_little_over_its_share_may_use_what_those_within_theirs_leave(self) -> None:
-        self.share_used |= {"small": 0.5, "single": 1.1, "spread": 2.5}
+        self.share_used |= {"small": 0.5, "alone": 1.1, "spread": 2.5}
         self.granted["small"] = 0
         for _ in range(round(SLOTS * MIN_SLOT_FRACTION) + 1):
             self.request("small", 0.0)
@@ -98,7 +98,7 @@
         for _ in range(SLOTS):
             self.request("spread", 0.0)
         self.assertEqual(held, len(self.slots.held))
-        self.request("single", 0.0)
+        self.request("alone", 0.0)
         self.assertEqual(held + 1, len(self.slots.held))
 
     def test_an_account_far_over_its_share_may_use_half_of_the_slots(self) -> None:
