--- a/packages/loomyard-router/src/loomyard_router/admission/gap_bound.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/gap_bound.py
@@ -14,8 +14,8 @@
 MAX_RATIO = 1.8
 # An account whose demand exceeds its usage by this factor is backlogged.
 BACKLOGGED_RATIO = 1.25
-# The cap is at least this fraction of the served share: an account that one router alone serves,
-# and that cannot get more there, would otherwise leave engines idle.
+# The cap is at least this fraction of the served share. Otherwise an account whose only router
+# cannot send more requests would cap all others and leave engines idle.
 MIN_FRACTION = 0.5
 
 
--- a/packages/loomyard-router/src/loomyard_router/admission/owner_health.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/owner_health.py
@@ -26,9 +26,9 @@
 PROBE_SECONDS = 0.5
 # With less than this fraction of the routers responsive, the links of this router are at fault.
 MIN_RESPONSIVE_FRACTION = 0.5
-# A router that had a reply from a peer within this time is not isolated.
+# A router that had a reply from a peer within this time is not partitioned.
 RECENT_REPLY_SECONDS = 1.0
-# Peers that a router probes before it considers itself isolated.
+# Peers that a router probes before it considers itself partitioned.
 MAX_PEERS_PROBED = 2
 
 
@@ -60,7 +60,7 @@
         self._probes: dict[str, gevent.Greenlet] = {}
         self._listeners: list[Callable[[], None]] = []
         self._last_reply_at = -math.inf
-        self._is_isolated = False
+        self._is_partitioned = False
         peers.handle(OwnerProbe, self._reply)
 
     @property
@@ -77,18 +77,18 @@
         self._listeners.append(on_change)
 
     def candidates(self) -> list[str]:
-        """Return the routers that may own slots: all live ones while this router is isolated."""
+        """Return the routers that may own slots: all live ones while this router is partitioned."""
         live = [member.name for member in self._members.live()]
         responsive = [name for name in live if name not in self._probes]
-        if self._is_isolated or len(responsive) < MIN_RESPONSIVE_FRACTION * len(live):
+        if self._is_partitioned or len(responsive) < MIN_RESPONSIVE_FRACTION * len(live):
             return live
         return responsive
 
     def record_reply(self) -> None:
-        """Record that a peer replied, so this router is not isolated."""
+        """Record that a peer replied, so this router is not partitioned."""
         self._last_reply_at = self._clock.now()
-        if self._is_isolated:
-            self._is_isolated = False
+        if self._is_partitioned:
+            self._is_partitioned = False
             self._notify()
 
     def record_timeout(self, owner: str, detail: str) -> None:
@@ -96,14 +96,14 @@
         if owner in self._probes:
             return
         self._probes[owner] = gevent.spawn(self._probe, owner)
-        self._is_isolated = not self._reaches_a_peer()
+        self._is_partitioned = not self._reaches_a_peer()
         emit(
             logger,
             Event.KEEPER_SILENT,
             keeper=owner,
             detail=detail,
             silent=len(self._probes),
-            cut_off=self._is_isolated,
+            cut_off=self._is_partitioned,
         )
         self._notify()
 
--- a/tests/test_loomyard_router/test_admission/test_unresponsive_owners.py
+++ b/tests/test_loomyard_router/test_admission/test_unresponsive_owners.py
@@ -70,11 +70,11 @@
             gevent.sleep(0.02)
         self.assertIn(self.owner, self.others[0].client.unresponsive)
 
-    def test_an_isolated_router_uses_only_its_quota(self) -> None:
-        isolated = self.others[0]
-        rest = {one.name for one in self.fleet.members} - {isolated.members.own.name}
-        self.fleet.network.cut({isolated.members.own.name}, rest)
-        self.assertEqual(MIN_SLOTS, sum(self.acquire(isolated, n) for n in range(2 * SLOTS)))
+    def test_a_partitioned_router_uses_only_its_quota(self) -> None:
+        partitioned = self.others[0]
+        rest = {one.name for one in self.fleet.members} - {partitioned.members.own.name}
+        self.fleet.network.cut({partitioned.members.own.name}, rest)
+        self.assertEqual(MIN_SLOTS, sum(self.acquire(partitioned, n) for n in range(2 * SLOTS)))
 
 
 if __name__ == "__main__":
