--- a/packages/loomyard-router/src/loomyard_router/claims/settling.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/claim_settler.py
@@ -1,4 +1,4 @@
-"""Get the ends of claims into the log, however long it takes."""
+"""Delivery of the records of ended claims, with retries until they are in the log."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 logger = logging.getLogger(__name__)
 
 RECORDS_PER_MESSAGE = 64
-# Past this many for one partition the oldest is dropped; its outcome then stays unknown.
+# Beyond this number for one partition the oldest is dropped; its outcome then stays unknown.
 MAX_UNSETTLED = 2_000
 SETTLE_SECONDS = 2.0
 STOP_SECONDS = 2.0
@@ -28,8 +28,8 @@
 Record = Finished | Abandoned
 
 
-class Settling:
-    """Repeat records to the hosts of their partitions until they are read back."""
+class ClaimSettler:
+    """Sends records to the hosts of their partitions, with retries until they are read back."""
 
     def __init__(self, clock: Clock, hosting: ClaimHosting) -> None:
         self._clock = clock
@@ -38,7 +38,7 @@
         self._tasks: dict[int, gevent.Greenlet] = {}
 
     def add(self, record: Record) -> None:
-        """Take a record on."""
+        """Queue a record for delivery."""
         partition = partition_of(record.key)
         records = self._records[partition]
         records.append(record)
@@ -49,7 +49,7 @@
             self._tasks[partition] = gevent.spawn(self._settle, partition)
 
     def stop(self) -> None:
-        """Wait a moment for what is on its way, then give up."""
+        """Wait ``STOP_SECONDS`` for pending records, then drop them."""
         tasks = list(self._tasks.values())
         gevent.joinall(tasks, timeout=STOP_SECONDS)
         gevent.killall(tasks)
@@ -73,5 +73,5 @@
             finished=[r for r in records if isinstance(r, Finished)],
         )
         until = self._clock.now() + SETTLE_SECONDS
-        answers = self._hosting.ask_partition(partition, message, until)
+        answers = self._hosting.request_partition(partition, message, until)
         return any(isinstance(answer, Settled) and answer.done for answer in answers)
--- a/packages/loomyard-router/src/loomyard_router/claims/hosting.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/hosting.py
@@ -1,4 +1,4 @@
-"""Which routers host a claim partition, and the partitions that this router hosts."""
+"""Selection of the hosts of claim partitions, and the partitions that this router hosts."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     Settled,
 )
 from loomyard_router.claims.partition import ClaimPartition
-from loomyard_router.claims.unknown_watch import CLOCK_MARGIN, UnknownWatch
+from loomyard_router.claims.unknown_outcomes import MAX_CLOCK_SKEW, UnknownOutcomeReporter
 from loomyard_router.claims.verdict import Verdict
 
 if TYPE_CHECKING:
@@ -31,20 +31,21 @@
     from loomyard_router.members.membership import Member, Membership
     from loomyard_router.peers.links import PeerLinks
 
-# The second host follows as well, so that it can answer as soon as the first is gone.
-HOSTS = 2
-# A router that drops to this rank stops to follow; between the two it stays as it is.
-DROP_RANK = 3
+# The second host follows the stream too, so that it can answer as soon as the first is gone.
+HOSTS_PER_PARTITION = 2
+# A router ranked below this stops hosting; in between it keeps its state, as a hysteresis.
+STOP_HOSTING_RANK = 3
 SWEEP_SECONDS = 5.0
-HOST_SECONDS = 1.5
+HOST_ANSWER_SECONDS = 1.5
 
 Message = LookUp | BeginClaim | SettleClaims
 
 
 class ClaimHosting:
-    """Ask the hosts of partitions, this router among them.
+    """Sends requests to the hosts of partitions, and is a host itself.
 
-    Who hosts only decides who writes; log order decides who wins, whatever the views are.
+    Hosts are chosen by rendezvous hash over the live routers. They only append records: the order
+    of the log decides which claim wins, so routers may differ in their view of the hosts.
     """
 
     def __init__(
@@ -56,35 +57,35 @@
         self._peers = peers
         self._hosts: list[list[str]] = []
         self._partitions: dict[int, ClaimPartition] = {}
-        self._watch = UnknownWatch(members)
-        self._sweeping: gevent.Greenlet | None = None
+        self._unknown_outcomes = UnknownOutcomeReporter(members)
+        self._sweep_task: gevent.Greenlet | None = None
         self._stopped = False
 
     @property
     def ready(self) -> bool:
-        """Whether all partitions that this router hosts are read to their ends."""
+        """Whether this router has read all partitions that it hosts to their ends."""
         return all(partition.ready for partition in self._partitions.values())
 
     def start(self) -> None:
-        """Start to host and to answer."""
+        """Start hosting, and answering peers."""
         for kind in (LookUp, BeginClaim, SettleClaims):
             self._peers.handle(kind, self._answer_peer)
-        self._members.subscribe(self._assign)
-        self._assign()
-        self._sweeping = gevent.spawn(self._sweep)
+        self._members.subscribe(self._update_hosts)
+        self._update_hosts()
+        self._sweep_task = gevent.spawn(self._sweep_unknown)
 
     def stop(self) -> None:
-        """Stop to host."""
-        if self._sweeping is not None:
-            self._sweeping.kill()
-        # To stop a partition waits; members that change meanwhile must assign none anew.
+        """Stop hosting."""
+        if self._sweep_task is not None:
+            self._sweep_task.kill()
+        # Stopping a partition blocks; a change of members meanwhile must not start it again.
         self._stopped = True
         while self._partitions:
             _, partition = self._partitions.popitem()
             partition.stop()
 
-    def unknown(self) -> list[KeyState]:
-        """Return the claims without outcome of the partitions that this router hosts first."""
+    def report_unknown(self) -> list[KeyState]:
+        """Log new claims of unknown outcome and return all, where this router is the first host."""
         own = self._members.own.name
         claims = [
             claim
@@ -92,16 +93,17 @@
             if self._hosts[number][:1] == [own]
             for claim in partition.unsettled()
         ]
-        return self._watch.sweep(claims, self._clock.wall())
+        return self._unknown_outcomes.report(claims, self._clock.wall())
 
-    def ask(self, key: bytes, message: Message, deadline: float) -> Iterator[Any]:
-        """Yield the answers of the hosts in their order; a host that does not answer is left."""
-        return self.ask_partition(partition_of(key), message, deadline)
+    def request(self, key: bytes, message: Message, deadline: float) -> Iterator[Any]:
+        """Yield the answers of the hosts of a key's partition, as ``request_partition``."""
+        return self.request_partition(partition_of(key), message, deadline)
 
-    def ask_partition(self, partition: int, message: Message, deadline: float) -> Iterator[Any]:
-        """Yield the answers of the hosts of a partition.
+    def request_partition(self, partition: int, message: Message, deadline: float) -> Iterator[Any]:
+        """Yield the answers of the hosts of a partition in order, skipping those that fail.
 
-        Each host gets its part of the time that is left, so that one that hangs leaves some.
+        Each host gets an equal part of the time to the deadline, so that one that hangs leaves time
+        for the next.
         """
         own = self._members.own.name
         hosts = self._hosts[partition]
@@ -120,7 +122,7 @@
                     self._members.suspect(host)
 
     def answer(self, message: Message, deadline: float) -> KeyView | BeginAnswer | Settled:
-        """Answer as a host."""
+        """Answer a request as a host."""
         match message:
             case LookUp():
                 return self._look_up(message)
@@ -130,38 +132,38 @@
                 return self._settle(message, deadline)
 
     def _answer_peer(self, sender: Member, message: Any) -> Any:
-        return self.answer(message, self._clock.now() + HOST_SECONDS)
+        return self.answer(message, self._clock.now() + HOST_ANSWER_SECONDS)
 
-    def _sweep(self) -> None:
+    def _sweep_unknown(self) -> None:
         while True:
             self._clock.sleep(SWEEP_SECONDS)
-            self.unknown()
+            self.report_unknown()
 
-    def _assign(self) -> None:
+    def _update_hosts(self) -> None:
         if self._stopped:
             return
         names = [member.name for member in self._members.live()]
         own = self._members.own.name
         ranked = [rank(stream_of(number), names) for number in range(PARTITIONS)]
-        self._hosts = [order[:HOSTS] for order in ranked]
+        self._hosts = [order[:HOSTS_PER_PARTITION] for order in ranked]
         for number, order in enumerate(ranked):
-            if own in order[:HOSTS] and number not in self._partitions:
+            if own in order[:HOSTS_PER_PARTITION] and number not in self._partitions:
                 self._partitions[number] = ClaimPartition(self._log, self._clock, number)
                 self._partitions[number].start()
-            elif own not in order[:DROP_RANK] and number in self._partitions:
+            elif own not in order[:STOP_HOSTING_RANK] and number in self._partitions:
                 self._partitions.pop(number).stop()
 
-    def _ready(self, number: int) -> ClaimPartition | None:
+    def _find_ready(self, number: int) -> ClaimPartition | None:
         partition = self._partitions.get(number)
         return partition if partition is not None and partition.ready else None
 
     def _look_up(self, message: LookUp) -> KeyView:
-        partition = self._ready(partition_of(message.key))
+        partition = self._find_ready(partition_of(message.key))
         if partition is None:
             return KeyView(ready=False)
         state = partition.find(message.key)
         if state is None:
-            return KeyView(ready=not partition.full, phase=Phase.FREE)
+            return KeyView(ready=not partition.is_full, phase=Phase.FREE)
         return KeyView(
             ready=True,
             phase=state.phase,
@@ -174,17 +176,17 @@
 
     def _begin(self, message: BeginClaim, deadline: float) -> BeginAnswer:
         begun = message.begun
-        partition = self._ready(partition_of(begun.key))
+        partition = self._find_ready(partition_of(begun.key))
         if partition is None:
             return BeginAnswer(detail="the host has not read the partition to its end")
-        # Written so that a time that is no number is refused as well.
-        if not abs(begun.begun_at - self._clock.wall()) <= CLOCK_MARGIN:
-            return BeginAnswer(detail="the wall clocks of claimant and host differ")
+        # Negated so that NaN is refused too.
+        if not abs(begun.begun_at - self._clock.wall()) <= MAX_CLOCK_SKEW:
+            return BeginAnswer(detail="the wall clocks of claimant and host differ too much")
         state = partition.find(begun.key)
         if state is not None and state.claim_id != begun.claim_id:
             return BeginAnswer(verdict=Verdict.TAKEN)
         verdict = partition.begin(begun, deadline)
-        return BeginAnswer(verdict=verdict, detail="" if verdict else "no answer of the log")
+        return BeginAnswer(verdict=verdict, detail="" if verdict else "no answer from the log")
 
     def _settle(self, message: SettleClaims, deadline: float) -> Settled:
         partition = self._partitions.get(message.partition)
--- a/packages/loomyard-router/src/loomyard_router/claims/keeper.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/keeper.py
@@ -1,4 +1,4 @@
-"""The protocol of claims on idempotency keys."""
+"""Protocol of claims on idempotency keys."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 @frozen(kw_only=True)
 class ClaimKey:
-    """What a claim is on: the account and the caller's key.
+    """An account and the idempotency key that a caller sent.
 
-    ``fingerprint`` digests the request; ``issued_at`` is the caller's wall time of the key in
-    seconds, where the key tells one.
+    ``fingerprint`` is a digest of the request; ``issued_at`` is the wall time in seconds that the
+    key carries, if any.
     """
 
     account: str
@@ -28,7 +28,7 @@
 
 @frozen(kw_only=True)
 class Claim:
-    """A claim on a key of which nothing was known; ``begin`` decides whether it wins."""
+    """A claim on a key that was free; ``begin`` decides whether the claim wins."""
 
     key: ClaimKey
     claim_id: str
@@ -36,7 +36,7 @@
 
 @frozen(kw_only=True)
 class RecordedOutcome:
-    """What an execution came to; ``body`` is ``None`` where it was too large to keep."""
+    """The answer of an execution; ``body`` is ``None`` where it was too large to record."""
 
     status: int
     content_type: str
@@ -44,18 +44,18 @@
 
 
 class ClaimKeeper(Protocol):
-    """Let log order decide who may execute.
+    """Ensures that the request of a key is sent at most once in the fleet.
 
-    The order is ``claim``, ``begin`` just before the bytes go out, then ``finish``; or
+    Callers call ``claim``, then ``begin`` just before they send the request, then ``finish``; or
     ``abandon`` while it is certain that nothing was sent.
     """
 
     @property
     def ready(self) -> bool:
-        """Whether this router knows enough to do its part in ordering claims."""
+        """Whether this router has read the claims that it hosts."""
 
     def claim(self, key: ClaimKey, deadline: float) -> Result[Claim | RecordedOutcome, Fault]:
-        """Claim a key, or return the outcome recorded for it; wait for one that is running.
+        """Claim a key, or return its recorded outcome; wait while its request is running.
 
         Errors: ``KEY_REUSED``, ``KEY_EXPIRED``, ``OUTCOME_UNKNOWN``, ``KEY_IN_PROGRESS``,
         ``CLAIM_UNAVAILABLE``.
@@ -64,7 +64,7 @@
     def begin(self, claim: Claim, deadline: float) -> Result[None, Fault]:
         """Record that the request is about to be sent; on an error it must not be sent.
 
-        Errors: ``KEY_IN_PROGRESS`` (another was first: claim again to wait for its outcome),
+        Errors: ``KEY_IN_PROGRESS`` (another claim was first: claim again to await its outcome),
         ``KEY_EXPIRED``, ``CLAIM_UNAVAILABLE``, ``DEADLINE_PASSED``.
         """
 
@@ -72,7 +72,7 @@
         """Record the outcome; ``None`` where it is unknown."""
 
     def abandon(self, claim: Claim) -> None:
-        """Give back a claim of which nothing was sent."""
+        """Release a claim under which nothing was sent."""
 
     def start(self) -> None:
         """Start the tasks."""
--- a/packages/loomyard-router/src/loomyard_router/claims/key_state.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/key_state.py
@@ -1,4 +1,4 @@
-"""What is known of a key."""
+"""State of an idempotency key."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Phase(Enum):
-    """How far the execution of a key has come."""
+    """Progress of the execution of a key."""
 
     FREE = "free"
     BEGUN = "begun"
@@ -20,7 +20,7 @@
 
 @define(kw_only=True, eq=False)
 class KeyState:
-    """The claim that owns a key; wall times in seconds as in ``Begun``."""
+    """The claim that owns a key, and its outcome; wall times in seconds as in ``Begun``."""
 
     claim_id: bytes
     fingerprint: bytes
--- a/packages/loomyard-router/src/loomyard_router/claims/keys.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/keys.py
@@ -1,4 +1,4 @@
-"""Claim keys from what a caller sent."""
+"""Idempotency keys of requests, and their partitions and streams."""
 
 from __future__ import annotations
 
@@ -14,13 +14,16 @@
 PARTITIONS = 16
 STREAM_PREFIX = "loomyard.claims."
 DIGEST_BYTES = 16
-UUID_WITH_TIME = 7
-MILLISECONDS = 1000.0
-TIMESTAMP_SHIFT = 80
+TIMESTAMPED_UUID_VERSION = 7
+MILLISECONDS_PER_SECOND = 1000.0
+TIMESTAMP_SHIFT_BITS = 80
 
 
 def claim_key_of(request: Request) -> ClaimKey | None:
-    """Return the key to claim before a request runs; ``None`` where none is to be claimed."""
+    """Return the key to claim before a request runs.
+
+    ``None`` if the request is idempotent by its route or has no key.
+    """
     if request.idempotent or request.key is None:
         return None
     return ClaimKey(
@@ -32,33 +35,33 @@
             request.path.encode(),
             request.body,
         ),
-        issued_at=issue_time(request.key),
+        issued_at=parse_issue_time(request.key),
     )
 
 
-def issue_time(key: str) -> float | None:
+def parse_issue_time(key: str) -> float | None:
     """Return the wall time in seconds that a version 7 UUID carries."""
     try:
         parsed = uuid.UUID(key)
     except ValueError:
         return None
-    if parsed.version != UUID_WITH_TIME:
+    if parsed.version != TIMESTAMPED_UUID_VERSION:
         return None
-    return (parsed.int >> TIMESTAMP_SHIFT) / MILLISECONDS
+    return (parsed.int >> TIMESTAMP_SHIFT_BITS) / MILLISECONDS_PER_SECOND
 
 
-def digest_of(key: ClaimKey) -> bytes:
-    """Return the digest under which a key is kept."""
+def digest_key(key: ClaimKey) -> bytes:
+    """Return the digest that identifies a key and its account in records."""
     return _digest(key.account.encode(), key.key.encode())
 
 
 def partition_of(digest: bytes) -> int:
-    """Return the partition of a key."""
+    """Return the number of the partition of a key's digest."""
     return int.from_bytes(digest[:4], "big") % PARTITIONS
 
 
 def stream_of(partition: int) -> str:
-    """Return the stream of a partition."""
+    """Return the name of the log stream of a partition."""
     return f"{STREAM_PREFIX}{partition:02d}"
 
 
--- a/packages/loomyard-router/src/loomyard_router/claims/messages.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/messages.py
@@ -1,4 +1,4 @@
-"""What routers ask the hosts of a claim partition."""
+"""Messages between routers and the hosts of a claim partition."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 @peer_message("claim.lookup")
 @frozen(kw_only=True)
 class LookUp:
-    """Ask what is known of a key; answered by ``KeyView``."""
+    """Request for the state of a key; answered by ``KeyView``."""
 
     key: bytes
 
@@ -22,7 +22,7 @@
 @peer_message("claim.view")
 @frozen(kw_only=True)
 class KeyView:
-    """What a host knows of a key; ``ready`` is false where it knows too little to answer."""
+    """State of a key at a host; ``ready`` is false where the host can't tell the state."""
 
     ready: bool
     phase: Phase = Phase.FREE
@@ -36,7 +36,7 @@
 @peer_message("claim.begin")
 @frozen(kw_only=True)
 class BeginClaim:
-    """Ask to append a ``Begun`` record; answered by ``BeginAnswer``."""
+    """Request to append a ``Begun`` record; answered by ``BeginAnswer``."""
 
     begun: Begun
 
@@ -44,7 +44,7 @@
 @peer_message("claim.begun")
 @frozen(kw_only=True)
 class BeginAnswer:
-    """The verdict; ``None`` where there is none, and then ``detail`` says why."""
+    """The verdict on a ``Begun`` record, or ``None`` and the reason in ``detail``."""
 
     verdict: Verdict | None = None
     detail: str = ""
@@ -53,7 +53,7 @@
 @peer_message("claim.settle")
 @frozen(kw_only=True)
 class SettleClaims:
-    """Ask to append how claims of one partition ended; answered by ``Settled``."""
+    """Request to append records of ended claims of one partition; answered by ``Settled``."""
 
     partition: int
     abandoned: list[Abandoned] = field(factory=list)
--- a/packages/loomyard-router/src/loomyard_router/claims/partition.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/partition.py
@@ -1,4 +1,4 @@
-"""One claim partition on a host: follow its stream and append to it in groups."""
+"""One claim partition on a host: reads its stream and appends to it in batches."""
 
 from __future__ import annotations
 
@@ -32,15 +32,16 @@
 
 logger = logging.getLogger(__name__)
 
-PAGE = 500
-# A host that has not read to the end for this long refuses to judge.
-FRESH_SECONDS = 5.0
-# Starts of appends of one partition lie at least this far apart.
-APPEND_SPACING = 0.05
-# The end of a claim waits this long for a claim to go with, which is what callers wait for.
-END_LINGER = 0.1
-# A host whose append is on its way for longer takes no claims until there is an answer.
-SLOW_APPEND = 1.0
+RECORDS_PER_READ = 500
+# A host that has not read to the end of the stream for this long is not ready.
+MAX_STALENESS_SECONDS = 5.0
+# Least seconds between the starts of two appends of one partition.
+APPEND_SPACING_SECONDS = 0.05
+# Records of ended claims wait this long to share the append of a ``Begun`` record; callers wait
+# for ``Begun`` records only.
+SETTLE_LINGER_SECONDS = 0.1
+# A host whose append takes longer is not ready until the append is answered.
+SLOW_APPEND_SECONDS = 1.0
 SPACING_JITTER = 0.2
 RESTART_SECONDS = 0.5
 RECORDS_PER_APPEND = 256
@@ -50,8 +51,8 @@
 
 
 @define(eq=False)
-class _Entry:
-    """A record to append and what waits for it to be read back."""
+class _PendingRecord:
+    """A record to append, and the result for the callers that wait until it is read back."""
 
     record: Record
     seen: AsyncResult = field(factory=AsyncResult)
@@ -59,7 +60,7 @@
 
 
 class ClaimPartition:
-    """Hold the state of a partition and order claims in its stream."""
+    """Holds the state of a partition and appends claims to its stream."""
 
     def __init__(self, log: LogService, clock: Clock, partition: int) -> None:
         self._log = log
@@ -69,31 +70,33 @@
         self._position = 0
         self._read_at: float | None = None
         self._reachable = True
-        self._behind = True
-        self._entries: dict[tuple[type, bytes], _Entry] = {}
-        self._pending: list[_Entry] = []
-        self._wake = Event()
-        self._urgent = Event()
+        self._lagging = True
+        self._entries_by_claim: dict[tuple[type, bytes], _PendingRecord] = {}
+        self._pending: list[_PendingRecord] = []
+        self._has_pending = Event()
+        self._has_begun = Event()
         self._append_started: float | None = None
         self._tasks: list[gevent.Greenlet] = []
 
     @property
     def ready(self) -> bool:
-        """Whether the stream was read to its end a short while ago and answers."""
+        """Whether the stream was read to its end recently and no append is slow."""
         started = self._append_started
-        slow = started is not None and self._clock.now() - started > SLOW_APPEND
-        return self._reachable and self._fresh and not slow
+        slow = started is not None and self._clock.now() - started > SLOW_APPEND_SECONDS
+        return self._reachable and self._is_fresh and not slow
 
     @property
-    def _fresh(self) -> bool:
-        return self._read_at is not None and self._clock.now() - self._read_at <= FRESH_SECONDS
+    def _is_fresh(self) -> bool:
+        return (
+            self._read_at is not None and self._clock.now() - self._read_at <= MAX_STALENESS_SECONDS
+        )
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         return len(self._state) >= MAX_KEYS
 
     def find(self, key: bytes) -> KeyState | None:
-        """Return the state of a key."""
+        """Return the state of a key, or ``None`` if it is free."""
         return self._state.find(key, self._clock.wall())
 
     def unsettled(self) -> list[tuple[bytes, KeyState]]:
@@ -101,15 +104,17 @@
         return self._state.unsettled()
 
     def start(self) -> None:
-        """Start to follow and to append."""
-        self._tasks = [gevent.spawn(self._keep, task) for task in (self._follow, self._write)]
+        """Start the tasks that read and append."""
+        self._tasks = [
+            gevent.spawn(self._run_forever, task) for task in (self._follow, self._append_pending)
+        ]
 
     def stop(self) -> None:
         """End the tasks."""
         gevent.killall(self._tasks)
 
     def begin(self, begun: Begun, deadline: float) -> Verdict | None:
-        """Append a record and return what log order decided; ``None`` where that is not known."""
+        """Append a record and return the verdict, or ``None`` if it is unknown by the deadline."""
         entry = self._submit(begun)
         verdict = wait_result(entry.seen, deadline, self._clock)
         entry.waiters -= 1
@@ -123,25 +128,25 @@
             entry.waiters -= 1
         return all(entry.seen.ready() and entry.seen.value is not None for entry in entries)
 
-    def _submit(self, record: Record) -> _Entry:
+    def _submit(self, record: Record) -> _PendingRecord:
         identity = (type(record), record.claim_id)
-        entry = self._entries.get(identity)
+        entry = self._entries_by_claim.get(identity)
         if entry is None:
-            entry = self._entries[identity] = _Entry(record)
+            entry = self._entries_by_claim[identity] = _PendingRecord(record)
             self._pending.append(entry)
-            self._wake.set()
+            self._has_pending.set()
             if isinstance(record, Begun):
-                self._urgent.set()
+                self._has_begun.set()
         entry.waiters += 1
         return entry
 
     def _resolve(self, record: Record, value: object) -> None:
-        entry = self._entries.pop((type(record), record.claim_id), None)
+        entry = self._entries_by_claim.pop((type(record), record.claim_id), None)
         if entry is not None:
             entry.seen.set(value)
 
-    def _keep(self, task: Callable[[], None]) -> None:
-        """Begin a task again where an unexpected error ended it; claims then time out."""
+    def _run_forever(self, task: Callable[[], None]) -> None:
+        """Restart a task after an unexpected error; claims that wait meanwhile time out."""
         while True:
             try:
                 task()
@@ -153,26 +158,26 @@
     def _follow(self) -> None:
         failures = 0
         while True:
-            if self._read(READ_WAIT if self._fresh else 0.0):
+            if self._read(READ_WAIT if self._is_fresh else 0.0):
                 failures = 0
                 continue
             self._clock.sleep(backoff_seconds(failures))
             failures += 1
 
     def _read(self, wait: float) -> bool:
-        """Read and fold once; false where the log service gave nothing to judge by."""
+        """Read and fold once; return false if the log is unreachable or has lost records."""
         started, position = self._clock.now(), self._position
-        match self._log.read(self._stream, position, limit=PAGE, wait=wait):
+        match self._log.read(self._stream, position, limit=RECORDS_PER_READ, wait=wait):
             case Ok(batch) if batch.end >= position:
-                self._take(batch, started)
+                self._apply_records(batch, started)
                 return True
-        # Unreachable, or it has lost what was read: nothing can be judged by it.
-        self._note_reachable(False)
+        # Unreachable, or the log ends before what was read: its order can't be relied on.
+        self._set_reachable(False)
         return False
 
-    def _take(self, batch: LogBatch, started: float) -> None:
+    def _apply_records(self, batch: LogBatch, started: float) -> None:
         if batch.first > self._position:
-            # What lies between is past every window, so a fresh fold knows all that counts.
+            # The trimmed records are older than every claim window, so an empty state is complete.
             emit(logger, LogEvent.CLAIMS_TRIMMED, stream=self._stream, first=batch.first)
             self._state = PartitionState()
             self._position = batch.first
@@ -180,13 +185,13 @@
             if record.offset < self._position:
                 continue
             self._position = record.offset + 1
-            self._apply(record.payload)
-        self._behind = self._position < batch.end
-        if not self._behind:
+            self._apply_payload(record.payload)
+        self._lagging = self._position < batch.end
+        if not self._lagging:
             self._read_at = started
-            self._note_reachable(True)
+            self._set_reachable(True)
 
-    def _apply(self, payload: bytes) -> None:
+    def _apply_payload(self, payload: bytes) -> None:
         match unpack(payload, ClaimBatch):
             case Ok(batch):
                 verdicts = self._state.apply(batch)
@@ -198,28 +203,28 @@
             case _:
                 emit(logger, LogEvent.RECORD_INVALID, offset=self._position - 1)
 
-    def _note_reachable(self, reachable: bool) -> None:
+    def _set_reachable(self, reachable: bool) -> None:
         if reachable != self._reachable:
             self._reachable = reachable
             event = LogEvent.LOG_RECOVERED if reachable else LogEvent.LOG_UNAVAILABLE
             emit(logger, event, stream=self._stream)
 
-    def _write(self) -> None:
+    def _append_pending(self) -> None:
         failures = 0
         while True:
-            self._wake.wait()
-            wait_any([self._urgent], self._clock.now() + END_LINGER, self._clock)
+            self._has_pending.wait()
+            wait_any([self._has_begun], self._clock.now() + SETTLE_LINGER_SECONDS, self._clock)
             started = self._clock.now()
-            entries = self._next_entries()
+            entries = self._pop_pending()
             if not entries:
                 continue
             self._append_started = started
-            appended = self._log.append(self._stream, pack(_batch_of(entries)))
+            appended = self._log.append(self._stream, pack(_make_batch(entries)))
             self._append_started = None
             match appended:
                 case Ok(_):
                     failures = 0
-                    self._pause(started)
+                    self._await_spacing(started)
                 case Err(fault):
                     lost = fault.code is ResultCode.LOG_ANSWER_LOST
                     self._fail_begins(entries, certain=not lost)
@@ -227,47 +232,47 @@
                     failures += 1
                     if lost:
                         self._read_to_end()
-                    self._queue_again(entries)
+                    self._requeue(entries)
 
-    def _next_entries(self) -> list[_Entry]:
+    def _pop_pending(self) -> list[_PendingRecord]:
         for entry in self._pending:
             if not entry.waiters:
-                self._entries.pop((type(entry.record), entry.record.claim_id), None)
+                self._entries_by_claim.pop((type(entry.record), entry.record.claim_id), None)
         wanted = [e for e in self._pending if e.waiters and not e.seen.ready()]
         self._pending = wanted[RECORDS_PER_APPEND:]
         if not self._pending:
-            self._wake.clear()
-            self._urgent.clear()
+            self._has_pending.clear()
+            self._has_begun.clear()
         return wanted[:RECORDS_PER_APPEND]
 
-    def _fail_begins(self, entries: list[_Entry], *, certain: bool) -> None:
+    def _fail_begins(self, entries: list[_PendingRecord], *, certain: bool) -> None:
         for entry in entries:
             if certain and isinstance(entry.record, Begun):
                 self._resolve(entry.record, None)
 
     def _read_to_end(self) -> None:
-        """Read what the append may have left, so that nothing is repeated blindly."""
+        """Read to the end, so that records of an append whose answer was lost are not repeated."""
         failures = 0
-        while not self._read(0.0) or self._behind:
+        while not self._read(0.0) or self._lagging:
             self._clock.sleep(backoff_seconds(failures))
             failures += 1
 
-    def _queue_again(self, entries: list[_Entry]) -> None:
-        """Queue what was not read back; a second copy of a record changes nothing."""
+    def _requeue(self, entries: list[_PendingRecord]) -> None:
+        """Queue records that were not read back again; a duplicate in the log changes nothing."""
         self._pending += [entry for entry in entries if not entry.seen.ready()]
         if self._pending:
-            self._wake.set()
+            self._has_pending.set()
 
-    def _pause(self, started: float) -> None:
-        """Space the appends, and more widely where the log service is slow."""
+    def _await_spacing(self, started: float) -> None:
+        """Wait before the next append, longer where the log service is slow."""
         took = self._clock.now() - started
-        spacing = max(APPEND_SPACING, took) * (1 + random.uniform(0, SPACING_JITTER))
+        spacing = max(APPEND_SPACING_SECONDS, took) * (1 + random.uniform(0, SPACING_JITTER))
         left = started + spacing - self._clock.now()
         if left > 0:
             self._clock.sleep(left)
 
 
-def _batch_of(entries: list[_Entry]) -> ClaimBatch:
+def _make_batch(entries: list[_PendingRecord]) -> ClaimBatch:
     batch = ClaimBatch()
     for entry in entries:
         match entry.record:
--- a/packages/loomyard-router/src/loomyard_router/claims/partition_state.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/partition_state.py
@@ -1,4 +1,4 @@
-"""The keys of one partition as a function of its log."""
+"""State of the keys of one partition, folded from its log stream."""
 
 from __future__ import annotations
 
@@ -12,24 +12,25 @@
 if TYPE_CHECKING:
     from loomyard_router.claims.records import Abandoned, Begun, ClaimBatch, Finished
 
-# A record that reaches the log this long after it was written decides nothing, so that what a
-# trimmed log can no longer tell lies at most this far around the records it still holds.
-LATE_SECONDS = 60.0
-FORGET_PER_BATCH = 1000
+# A ``Begun`` record that reaches the log later than this after it was made is refused, so log order
+# is the order of begin times up to this many seconds: a trimmed log is complete except for claims
+# begun within this time of the oldest record that it still has.
+MAX_APPEND_DELAY_SECONDS = 60.0
+MAX_EXPIRED_PER_BATCH = 1000
 
 
 class PartitionState:
-    """Fold batches in log order.
+    """Folds batches in log order.
 
-    Every router that folds the same records holds the same state: time is the latest
-    ``begun_at`` read, never the clock of the reader.
+    Routers that fold the same records have the same state: time is the latest ``begun_at`` read,
+    never the clock of the reader.
     """
 
     def __init__(self) -> None:
         self._time = 0.0
         self._keys: dict[bytes, KeyState] = {}
         self._unsettled: set[bytes] = set()
-        self._void: dict[bytes, float] = {}
+        self._void_claims: dict[bytes, float] = {}
 
     @property
     def time(self) -> float:
@@ -39,7 +40,7 @@
         return len(self._keys)
 
     def find(self, key: bytes, wall: float = 0.0) -> KeyState | None:
-        """Return the state of a key that is remembered at a wall time."""
+        """Return the state of a key that has not expired at a wall time."""
         state = self._keys.get(key)
         if state is None or state.keep_until < max(wall, self._time):
             return None
@@ -50,13 +51,13 @@
         return [(key, self._keys[key]) for key in self._unsettled]
 
     def apply(self, batch: ClaimBatch) -> list[Verdict]:
-        """Fold a batch; return the verdicts on its ``begun``."""
+        """Fold a batch; return the verdicts on its ``begun`` in order."""
         for abandoned in batch.abandoned:
             self._abandon(abandoned)
         verdicts = [self._begin(begun) for begun in batch.begun]
         for finished in batch.finished:
             self._finish(finished)
-        self._forget()
+        self._expire()
         return verdicts
 
     def _begin(self, begun: Begun) -> Verdict:
@@ -66,7 +67,7 @@
             return Verdict.GRANTED
         verdict = self._judge(begun, owner)
         if verdict is Verdict.GRANTED:
-            # A key that was forgotten moves to the end, as new keys do.
+            # An expired key moves to the end like a new one: ``_expire`` starts with the oldest.
             self._keys.pop(begun.key, None)
             self._unsettled.add(begun.key)
             self._keys[begun.key] = KeyState(
@@ -78,14 +79,14 @@
                 keep_until=begun.keep_until,
             )
         else:
-            # Its writer was told no; a second copy of the record must not say yes.
-            self._void[begun.claim_id] = begun.keep_until
+            # The writer got a refusal, so a duplicate of the record must not be granted later.
+            self._void_claims[begun.claim_id] = begun.keep_until
         return verdict
 
     def _judge(self, begun: Begun, owner: KeyState | None) -> Verdict:
-        if begun.claim_id in self._void:
+        if begun.claim_id in self._void_claims:
             return Verdict.VOID
-        if begun.begun_at < self._time - LATE_SECONDS:
+        if begun.begun_at < self._time - MAX_APPEND_DELAY_SECONDS:
             return Verdict.LATE
         window = begun.keep_until - begun.begun_at
         if begun.issued_at is not None and begun.issued_at + window < self._time:
@@ -93,7 +94,7 @@
         return Verdict.GRANTED if owner is None else Verdict.TAKEN
 
     def _abandon(self, abandoned: Abandoned) -> None:
-        self._void[abandoned.claim_id] = abandoned.keep_until
+        self._void_claims[abandoned.claim_id] = abandoned.keep_until
         owner = self._keys.get(abandoned.key)
         if owner is None or owner.claim_id != abandoned.claim_id:
             return
@@ -112,13 +113,13 @@
         elif state.phase is Phase.BEGUN:
             state.phase = Phase.UNKNOWN
 
-    def _forget(self) -> None:
-        for key in list(islice(self._keys, FORGET_PER_BATCH)):
+    def _expire(self) -> None:
+        for key in list(islice(self._keys, MAX_EXPIRED_PER_BATCH)):
             if self._keys[key].keep_until >= self._time:
                 break
             del self._keys[key]
             self._unsettled.discard(key)
-        for claim_id in list(islice(self._void, FORGET_PER_BATCH)):
-            if self._void[claim_id] >= self._time:
+        for claim_id in list(islice(self._void_claims, MAX_EXPIRED_PER_BATCH)):
+            if self._void_claims[claim_id] >= self._time:
                 break
-            del self._void[claim_id]
+            del self._void_claims[claim_id]
--- a/packages/loomyard-router/src/loomyard_router/claims/records.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/records.py
@@ -1,4 +1,4 @@
-"""What the claim streams hold: batches of records, one append each."""
+"""Records of the claim streams; each append is a batch of them."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 class Begun:
     """A router is about to send the request of a key.
 
-    Wall times in seconds: ``begun_at`` of the writer, ``answer_by`` when the answer is due,
-    ``keep_until`` when the key may be forgotten, ``issued_at`` as the key tells it.
+    Wall times in seconds: ``begun_at`` by the clock of the writer, ``answer_by`` when the answer is
+    due, ``keep_until`` when the key expires, ``issued_at`` as carried by the key.
     """
 
     claim_id: bytes
@@ -28,7 +28,7 @@
 
 @frozen(kw_only=True)
 class Finished:
-    """The execution of a claim ended; without an outcome it is unknown."""
+    """The execution of a claim ended; its outcome is ``None`` where it is unknown."""
 
     claim_id: bytes
     key: bytes
@@ -46,7 +46,7 @@
 
 @frozen(kw_only=True)
 class ClaimBatch:
-    """Records of one append; they count in the order of the fields."""
+    """Records of one append, applied in the order of the fields."""
 
     abandoned: list[Abandoned] = field(factory=list)
     begun: list[Begun] = field(factory=list)
--- a/packages/loomyard-router/src/loomyard_router/claims/unknown_watch.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/unknown_outcomes.py
@@ -1,4 +1,4 @@
-"""Report claims that were begun and whose outcome nobody can record any more."""
+"""Reports of begun claims whose outcome no router can record any more."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 logger = logging.getLogger(__name__)
 
-# How far the wall clocks of routers and callers may lie apart.
-CLOCK_MARGIN = 30.0
+# Seconds by which the wall clocks of routers and callers may differ.
+MAX_CLOCK_SKEW = 30.0
 
 
 class BegunClaim(Protocol):
-    """What tells who has begun a claim."""
+    """The fields of a claim that tell whether its owner may still record an outcome."""
 
     @property
     def phase(self) -> Phase: ...
@@ -34,14 +34,14 @@
     def answer_by(self) -> float: ...
 
 
-def is_unknown(claim: BegunClaim, members: Membership, wall: float) -> bool:
-    """Tell whether a claim has no outcome and nobody is known who could still record one.
+def is_outcome_unknown(claim: BegunClaim, members: Membership, wall: float) -> bool:
+    """Return whether a claim has no outcome and no owner that could still record one.
 
-    Only what callers and operators are told hangs on this: a begun claim is never taken over.
+    A wrong result only misinforms callers and operators: no router takes over a begun claim.
     """
     if claim.phase is not Phase.BEGUN:
         return claim.phase is Phase.UNKNOWN
-    if wall > claim.answer_by + CLOCK_MARGIN:
+    if wall > claim.answer_by + MAX_CLOCK_SKEW:
         return True
     owner = members.find(claim.owner)
     if owner is None:
@@ -49,16 +49,18 @@
     return owner.state is MemberState.DEAD or owner.incarnation != claim.incarnation
 
 
-class UnknownWatch:
-    """Emit an event once for each claim whose outcome is unknown."""
+class UnknownOutcomeReporter:
+    """Logs an event once for each claim of unknown outcome."""
 
     def __init__(self, members: Membership) -> None:
         self._members = members
         self._reported: set[bytes] = set()
 
-    def sweep(self, claims: Iterable[tuple[bytes, KeyState]], wall: float) -> list[KeyState]:
-        """Report new ones; return all."""
-        unknown = [(k, state) for k, state in claims if is_unknown(state, self._members, wall)]
+    def report(self, claims: Iterable[tuple[bytes, KeyState]], wall: float) -> list[KeyState]:
+        """Log the claims that are newly of unknown outcome; return all of unknown outcome."""
+        unknown = [
+            (k, state) for k, state in claims if is_outcome_unknown(state, self._members, wall)
+        ]
         for key, state in unknown:
             if state.claim_id not in self._reported:
                 emit(
--- a/packages/loomyard-router/src/loomyard_router/claims/verdict.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/verdict.py
@@ -1,4 +1,4 @@
-"""What log order decides about a claim."""
+"""Verdicts on claims, decided by log order."""
 
 from __future__ import annotations
 
@@ -6,7 +6,12 @@
 
 
 class Verdict(Enum):
-    """The decision about a ``Begun`` record at its place in the log."""
+    """Decision on a ``Begun`` record, given the records before it in the log.
+
+    ``TAKEN``: another claim owns the key; ``VOID``: this claim was abandoned or refused before;
+    ``EXPIRED``: the key is older than its window; ``LATE``: the record was appended too long after
+    it was made.
+    """
 
     GRANTED = "granted"
     TAKEN = "taken"
--- a/tests/test_loomyard_router/claims_fleet.py
+++ b/tests/test_loomyard_router/claims_fleet.py
@@ -1,4 +1,4 @@
-"""Routers that share one log, one network and one target that counts what it ran."""
+"""Claim coordinators that share one log, one network and one target that counts requests."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 WINDOW = 1000.0
 TIMEOUT = 10.0
-SETTLE_TURNS = 60
+SETTLE_TURNS = 60  # yields after which no task of the fleet is runnable any more
 
 
 def key(name: str = "k", fingerprint: bytes = b"f", issued_at: float | None = None) -> ClaimKey:
@@ -26,13 +26,13 @@
 
 
 def settle(turns: int = SETTLE_TURNS) -> None:
-    """Let all tasks run until they wait."""
+    """Run all tasks until they wait."""
     for _ in range(turns):
         gevent.sleep(0)
 
 
 class ClockedLog(MemoryLog):
-    """A log whose waiting reads end by a clock that tests move."""
+    """A log whose long polls time out by a clock that tests advance."""
 
     def __init__(self, clock: FakeClock) -> None:
         super().__init__()
@@ -44,8 +44,8 @@
             gevent.wait([self._grown, self._clock._moved], count=1)
 
 
-class View:
-    """The membership as one router sees it."""
+class SharedMembership:
+    """Membership of one router, on a dictionary of members that tests change."""
 
     def __init__(self, own: Member, members: dict[str, Member]) -> None:
         self.own = own
@@ -67,13 +67,13 @@
 
 @define(eq=False)
 class ClaimsFleet:
-    """What ``sends`` counts is what the target saw."""
+    """Routers by name; ``sends`` counts the requests that reached the target, by key."""
 
     clock: FakeClock = field(factory=FakeClock)
     log: MemoryLog = field(init=False)
     network: MemoryNetwork = field(factory=MemoryNetwork)
     members: dict[str, Member] = field(factory=dict)
-    keepers: dict[str, LogClaims] = field(factory=dict)
+    coordinators: dict[str, LogClaims] = field(factory=dict)
     sends: Counter[str] = field(factory=Counter)
     incarnations: int = 0
 
@@ -81,41 +81,41 @@
         self.log = ClockedLog(self.clock)
 
     def join(self, name: str, make=make_log_claims) -> LogClaims:
-        """Start a router, or start it again empty."""
+        """Make the coordinator of a new incarnation of a router, without state."""
         self.incarnations += 1
         own = Member(name=name, incarnation=self.incarnations, address="", data_centre="")
         self.members[name] = own
-        self.keepers[name] = keeper = make(
+        self.coordinators[name] = coordinator = make(
             log=self.log,
             clock=self.clock,
-            members=View(own, self.members),
+            members=SharedMembership(own, self.members),
             peers=self.network.join(own),
             window=WINDOW,
         )
-        return keeper
+        return coordinator
 
     def start(self, *names: str, make=make_log_claims) -> list[LogClaims]:
-        """Start routers that know each other."""
-        keepers = [self.join(name, make) for name in names]
-        for keeper in keepers:
-            keeper.start()
+        """Start routers that all have each other as live members."""
+        coordinators = [self.join(name, make) for name in names]
+        for coordinator in coordinators:
+            coordinator.start()
         settle()
-        return keepers
+        return coordinators
 
     def restart(self, name: str, make=make_log_claims) -> LogClaims:
-        """Start a router again, empty."""
-        keeper = self.join(name, make)
-        keeper.start()
-        for other in self.keepers.values():
-            other._hosting._assign()
+        """Start a router again, without state, and notify the others."""
+        coordinator = self.join(name, make)
+        coordinator.start()
+        for other in self.coordinators.values():
+            other._hosting._update_hosts()
         settle()
-        return keeper
+        return coordinator
 
     def kill(self, name: str) -> None:
-        """End a router at once, seen by all."""
-        keeper = self.keepers.pop(name)
-        gevent.killall(list(keeper._settling._tasks.values()))
-        keeper._hosting.stop()
+        """Crash a router; the others see it as dead."""
+        coordinator = self.coordinators.pop(name)
+        gevent.killall(list(coordinator._settler._tasks.values()))
+        coordinator._hosting.stop()
         self.network.leave(name)
         member = self.members[name]
         self.members[name] = Member(
@@ -125,53 +125,56 @@
             data_centre="",
             state=MemberState.DEAD,
         )
-        for other in self.keepers.values():
-            other._hosting._assign()
+        for other in self.coordinators.values():
+            other._hosting._update_hosts()
         settle()
 
     def stop(self) -> None:
-        for keeper in self.keepers.values():
-            gevent.killall(list(keeper._settling._tasks.values()))
-            keeper._hosting.stop()
+        for coordinator in self.coordinators.values():
+            gevent.killall(list(coordinator._settler._tasks.values()))
+            coordinator._hosting.stop()
 
     def send(self, claim: Claim) -> RecordedOutcome:
         self.sends[claim.key.key] += 1
         number = self.sends[claim.key.key]
         return RecordedOutcome(status=200, content_type="text/plain", body=b"%d" % number)
 
-    def serve(self, keeper: LogClaims, wanted: ClaimKey, pause=lambda step: True):
-        """Do what the serving of a request does; ``pause`` is called between the steps."""
+    def serve(self, coordinator: LogClaims, claim_key: ClaimKey, pause=lambda step: True):
+        """Run the steps of a request: claim, begin, send, finish.
+
+        ``pause`` is called between the steps; after ``begun`` its result is whether to send.
+        """
         deadline = self.clock.now() + TIMEOUT
         while True:
-            claimed = keeper.claim(wanted, deadline)
+            claimed = coordinator.claim(claim_key, deadline)
             if claimed.is_err() or isinstance(claimed.unwrap(), RecordedOutcome):
                 return claimed
             claim = claimed.unwrap()
             pause("claimed")
-            match keeper.begin(claim, deadline):
+            match coordinator.begin(claim, deadline):
                 case Err(fault) if fault.code is ResultCode.KEY_IN_PROGRESS:
                     continue
                 case Err(fault):
                     return Err(fault)
             if not pause("begun"):
-                keeper.abandon(claim)
+                coordinator.abandon(claim)
                 return Err(Fault(code=ResultCode.TARGET_UNREACHABLE, detail=""))
             outcome = self.send(claim)
             pause("sent")
-            keeper.finish(claim, outcome)
+            coordinator.finish(claim, outcome)
             return Ok(outcome)
 
     def pass_time(self, seconds: float = 1.0) -> None:
-        """Let time pass and all tasks run."""
+        """Advance the clock and run all tasks."""
         self.clock.advance(seconds)
         settle()
         for _ in range(4):
             self.clock.advance(0.1)
             settle()
 
-    def run(self, task_or_call, *arguments, seconds: float = 60.0):
-        """Run to the end while the clock moves; return what it returned."""
-        task = gevent.spawn(task_or_call, *arguments)
+    def run(self, function, *arguments, seconds: float = 60.0):
+        """Run a function while the clock advances; return its result."""
+        task = gevent.spawn(function, *arguments)
         until = self.clock.now() + seconds
         settle()
         while not task.ready() and self.clock.now() < until:
--- a/tests/test_loomyard_router/test_claim_records.py
+++ b/tests/test_loomyard_router/test_claim_records.py
@@ -1,4 +1,7 @@
-"""Tests of the fold of claim records, and of the keys they are on."""
+"""Tests of the state folded from claim records, and of the keys that carry a time.
+
+They guard against a key that two claims own: by a duplicate, late or abandoned record.
+"""
 
 from __future__ import annotations
 
@@ -9,8 +12,8 @@
 
 from loomyard_router.claims.keeper import RecordedOutcome
 from loomyard_router.claims.key_state import Phase
-from loomyard_router.claims.keys import issue_time
-from loomyard_router.claims.partition_state import LATE_SECONDS, PartitionState
+from loomyard_router.claims.keys import parse_issue_time
+from loomyard_router.claims.partition_state import MAX_APPEND_DELAY_SECONDS, PartitionState
 from loomyard_router.claims.records import Abandoned, Begun, ClaimBatch, Finished
 from loomyard_router.claims.verdict import Verdict
 from loomyard_router.settings import parse_settings
@@ -48,11 +51,11 @@
     def finish(self, name: bytes, outcome: RecordedOutcome | None) -> None:
         self.state.apply(ClaimBatch(finished=[Finished(claim_id=name, key=KEY, outcome=outcome)]))
 
-    def test_first_in_the_log_owns_the_key(self) -> None:
+    def test_first_claim_in_the_log_owns_the_key(self) -> None:
         batch = ClaimBatch(begun=[begun(b"1"), begun(b"2"), begun(b"1")])
         self.assertEqual(self.state.apply(batch), [Verdict.GRANTED, Verdict.TAKEN, Verdict.GRANTED])
 
-    def test_second_copy_of_a_refused_record_is_refused_also_when_the_key_is_free(self) -> None:
+    def test_duplicate_of_a_refused_record_is_void_even_if_the_key_is_free(self) -> None:
         self.begin(b"1")
         self.begin(b"2")
         self.abandon(b"1")
@@ -63,19 +66,19 @@
         self.abandon(b"1")
         self.assertEqual(self.begin(b"1"), Verdict.VOID)
 
-    def test_record_that_arrives_late_decides_nothing(self) -> None:
-        self.begin(b"1", 1000.0 + LATE_SECONDS + 1)
+    def test_record_appended_too_late_is_refused(self) -> None:
+        self.begin(b"1", 1000.0 + MAX_APPEND_DELAY_SECONDS + 1)
         self.abandon(b"1")
         self.assertEqual(self.begin(b"2", 1000.0), Verdict.LATE)
 
-    def test_key_is_free_after_its_window_and_one_with_a_time_is_refused(self) -> None:
+    def test_key_is_free_after_its_window_unless_it_carries_a_time(self) -> None:
         self.begin(b"1")
         self.assertEqual(self.begin(b"2", 1000.0 + WINDOW), Verdict.TAKEN)
         after = 1001.0 + WINDOW
         self.assertEqual(self.begin(b"3", after, issued_at=1000.0), Verdict.EXPIRED)
         self.assertEqual(self.begin(b"4", after), Verdict.GRANTED)
 
-    def test_outcome_is_written_once_by_the_owner(self) -> None:
+    def test_only_the_first_outcome_of_the_owner_is_recorded(self) -> None:
         self.begin(b"1")
         self.finish(b"2", OUTCOME)
         self.assertEqual(self.state.find(KEY).phase, Phase.BEGUN)
@@ -87,13 +90,13 @@
         found = self.state.find(KEY)
         self.assertEqual((found.phase, found.outcome), (Phase.FINISHED, OUTCOME))
 
-    def test_finished_claim_is_not_given_back(self) -> None:
+    def test_finished_claim_is_not_released(self) -> None:
         self.begin(b"1")
         self.finish(b"1", OUTCOME)
         self.abandon(b"1")
         self.assertEqual(self.state.find(KEY).phase, Phase.FINISHED)
 
-    def test_state_past_the_window_is_forgotten(self) -> None:
+    def test_keys_expire_after_the_window(self) -> None:
         for number in range(50):
             item = evolve(begun(b"%d" % number, 1000.0 + number), key=b"%d" % number)
             self.state.apply(ClaimBatch(begun=[item]))
@@ -104,11 +107,11 @@
 class KeysTest(unittest.TestCase):
     def test_time_of_a_version_7_uuid(self) -> None:
         stamped = uuid.UUID(int=(1_700_000_000_123 << 80) | (7 << 76) | (2 << 62))
-        self.assertEqual(issue_time(str(stamped)), 1_700_000_000.123)
+        self.assertEqual(parse_issue_time(str(stamped)), 1_700_000_000.123)
         for other in (str(uuid.uuid4()), "receipt-7", ""):
-            self.assertIsNone(issue_time(other))
+            self.assertIsNone(parse_issue_time(other))
 
-    def test_window_must_fit_the_retention_twice(self) -> None:
+    def test_retention_must_exceed_twice_the_window(self) -> None:
         arguments = ["--log-service=h:1", "--claim-window=3600", "--log-retention=7200"]
         (fault,) = parse_settings(arguments, {}).unwrap_err()
         self.assertEqual(fault.field, "claim_window")
--- a/tests/test_loomyard_router/test_claims_interleavings.py
+++ b/tests/test_loomyard_router/test_claims_interleavings.py
@@ -1,4 +1,7 @@
-"""Tests that no interleaving sends a request twice."""
+"""Tests with random interleavings that no request is sent twice.
+
+Incorrect implementations are run too, so that the check itself is known to find a second send.
+"""
 
 from __future__ import annotations
 
@@ -22,13 +25,13 @@
     derandomize=True,
     deadline=None,
     database=None,
-    phases=[Phase.generate],  # to shrink a failure takes minutes
+    phases=[Phase.generate],  # shrinking a failure would take minutes
     suppress_health_check=list(HealthCheck),
 )
 
 
 class ClaimsInterleavingTest(unittest.TestCase):
-    def run_drawn(self, make=None) -> Counter:
+    def run_interleavings(self, make=None) -> Counter:
         seen: Counter[str] = Counter()
 
         @PROFILE
@@ -56,38 +59,38 @@
         return seen
 
     def test_at_most_one_send(self) -> None:
-        seen = self.run_drawn()
+        seen = self.run_interleavings()
         self.assertGreater(seen["sends"], 40)
         self.assertGreater(seen["outcomes"], 100)
 
-    def test_checker_finds_a_send_before_the_verdict_is_read(self) -> None:
-        class Hasty(LogClaims):
-            def _ask_begin(self, begun, deadline):
-                super()._ask_begin(begun, deadline)
+    def test_check_finds_a_send_whatever_the_verdict(self) -> None:
+        class IgnoresVerdict(LogClaims):
+            def _request_begin(self, begun, deadline):
+                super()._request_begin(begun, deadline)
                 return Verdict.GRANTED
 
-        self.assert_found(Hasty)
+        self.assert_found(IgnoresVerdict)
 
-    def test_checker_finds_a_send_after_no_verdict(self) -> None:
-        class Hopeful(LogClaims):
-            def _ask_begin(self, begun, deadline):
-                return super()._ask_begin(begun, deadline) or Verdict.GRANTED
+    def test_check_finds_a_send_after_an_unknown_verdict(self) -> None:
+        class AssumesGranted(LogClaims):
+            def _request_begin(self, begun, deadline):
+                return super()._request_begin(begun, deadline) or Verdict.GRANTED
 
-        self.assert_found(Hopeful)
+        self.assert_found(AssumesGranted)
 
-    def test_checker_finds_a_takeover_from_an_owner_that_looks_dead(self) -> None:
-        class Usurper(LogClaims):
+    def test_check_finds_a_takeover_from_an_owner_that_is_suspected_dead(self) -> None:
+        class TakesOver(LogClaims):
             def _look_up(self, digest, deadline):
                 view = super()._look_up(digest, deadline)
-                return KeyView(ready=True) if view and self._is_lost(view) else view
+                return KeyView(ready=True) if view and self._is_outcome_unknown(view) else view
 
-            def _ask_begin(self, begun, deadline):
+            def _request_begin(self, begun, deadline):
                 view = super()._look_up(begun.key, deadline)
-                if view and self._is_lost(view):
+                if view and self._is_outcome_unknown(view):
                     return Verdict.GRANTED
-                return super()._ask_begin(begun, deadline)
+                return super()._request_begin(begun, deadline)
 
-        self.assert_found(Usurper)
+        self.assert_found(TakesOver)
 
     def assert_found(self, kind: type[LogClaims]) -> None:
         def make(*, log, clock, members, peers, window):
@@ -95,4 +98,4 @@
             return kind(clock=clock, members=members, hosting=hosting, window=window)
 
         with self.assertRaisesRegex(AssertionError, "ran 2 times"):
-            self.run_drawn(make)
+            self.run_interleavings(make)
