--- a/packages/loomyard-router/src/loomyard_router/operators/app.py
+++ b/packages/loomyard-router/src/loomyard_router/operators/app.py
@@ -1,4 +1,4 @@
-"""The WSGI application of operators."""
+"""WSGI application for the HTTP interface of operators."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
 
     from loomyard_router.configuration.follower import ConfigFollower
     from loomyard_router.operators.changes import ChangePublisher
-    from loomyard_router.operators.explanations import Explanations
+    from loomyard_router.operators.config_restorer import ConfigRestorer
     from loomyard_router.operators.fleet_status import FleetStatus
     from loomyard_router.operators.keys import OperatorKeys
-    from loomyard_router.operators.restores import Restores
-    from loomyard_router.operators.router_drains import RouterDrains
+    from loomyard_router.operators.request_explainer import RequestExplainer
+    from loomyard_router.operators.router_drainer import RouterDrainer
     from loomyard_router.targets.directory import TargetDirectory
 
     Environ = dict[str, Any]
@@ -52,8 +52,8 @@
 logger = logging.getLogger(__name__)
 
 PREFIX = "/operators/v1/"
-MAX_BODY = 2 * 1024 * 1024
-MAX_RESTORE_BODY = 64 * 1024 * 1024
+MAX_BODY_BYTES = 2 * 1024 * 1024
+MAX_RESTORE_BODY_BYTES = 64 * 1024 * 1024
 AUTHOR_HEADER = "HTTP_LOOMYARD_AUTHOR"
 
 _VERDICT_STATUS = {
@@ -63,32 +63,32 @@
 
 
 class OperatorsApp:
-    """Serve /operators/v1."""
+    """Authenticates operators and serves the paths below /operators/v1."""
 
     def __init__(
         self,
         *,
         keys: OperatorKeys,
         follower: ConfigFollower,
-        changes: ChangePublisher,
-        status: FleetStatus,
-        explanations: Explanations,
-        drains: RouterDrains,
-        restores: Restores,
+        publisher: ChangePublisher,
+        fleet_status: FleetStatus,
+        explainer: RequestExplainer,
+        drainer: RouterDrainer,
+        restorer: ConfigRestorer,
         targets: TargetDirectory,
     ) -> None:
         self._keys = keys
         self._follower = follower
-        self._changes = changes
-        self._status = status
-        self._explanations = explanations
-        self._drains = drains
-        self._restores = restores
+        self._publisher = publisher
+        self._fleet_status = fleet_status
+        self._explainer = explainer
+        self._drainer = drainer
+        self._restorer = restorer
         self._targets = targets
 
     def __call__(self, environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
         request_id = f"op-{secrets.token_hex(8)}"
-        match self._handle(environ):
+        match self._route_request(environ):
             case Ok((status, document)):
                 body = _encode(document)
                 headers = [("Content-Type", JSON_TYPE), ("Loomyard-Request-Id", request_id)]
@@ -100,47 +100,49 @@
         start_response(f"{status.value} {status.phrase}", headers)
         return body
 
-    def _handle(self, environ: Environ) -> Result[tuple[HTTPStatus, object], Fault]:
+    def _route_request(self, environ: Environ) -> Result[tuple[HTTPStatus, object], Fault]:
         if not self._keys.accepts(environ.get("HTTP_AUTHORIZATION", "")):
             emit(logger, Event.OPERATOR_REFUSED, peer=environ.get("REMOTE_ADDR", ""))
-            return Err(_fault(ResultCode.OPERATOR_REFUSED, "unknown or missing operator key"))
+            return Err(_make_fault(ResultCode.OPERATOR_REFUSED, "unknown or missing operator key"))
         path = environ["PATH_INFO"]
-        words = path.removeprefix(PREFIX).split("/") if path.startswith(PREFIX) else []
-        match (environ["REQUEST_METHOD"], *words):
+        segments = path.removeprefix(PREFIX).split("/") if path.startswith(PREFIX) else []
+        match (environ["REQUEST_METHOD"], *segments):
             case ("GET", "objects"):
                 query = parse_qs(environ.get("QUERY_STRING", ""))
                 kinds, refs = query.get("kind", []), query.get("ref", [])
-                return _plain(Ok(list_objects(self._follower.state, kinds, refs)))
+                return _with_ok_status(Ok(list_objects(self._follower.state, kinds, refs)))
             case ("POST", "changes"):
-                return _read(environ, ChangeRequest).and_then(self._change)
+                return _read_document(environ, ChangeRequest).and_then(self._publish)
             case ("POST", "restore"):
-                return _read(environ, RestoreRequest, most=MAX_RESTORE_BODY).and_then(
-                    lambda request: _plain(self._restores.restore(request.objects))
-                )
+                return _read_document(
+                    environ, RestoreRequest, max_bytes=MAX_RESTORE_BODY_BYTES
+                ).and_then(lambda request: _with_ok_status(self._restorer.restore(request.objects)))
             case ("GET", "changes", change_id):
-                return self._changes.find(change_id).map(_change_answer)
+                return self._publisher.find(change_id).map(_with_verdict_status)
             case ("GET", "status"):
-                return _plain(Ok(self._report()))
+                return _with_ok_status(Ok(self._report_fleet()))
             case ("GET", "targets"):
-                return _plain(Ok(self._report_targets()))
+                return _with_ok_status(Ok(self._report_targets()))
             case ("GET", "requests", request_id):
-                return _plain(self._explanations.explain(request_id))
+                return _with_ok_status(self._explainer.explain(request_id))
             case ("POST", "targets", name, "drain"):
                 author = environ.get(AUTHOR_HEADER, "")
-                return self._changes.drain_target(name, author).map(_change_answer)
+                return self._publisher.drain_target(name, author).map(_with_verdict_status)
             case ("POST", "routers", name, "drain"):
-                return _plain(self._drains.drain(name))
-        return Err(_fault(ResultCode.UNKNOWN_PATH, f"no such path or method: {path}"))
+                return _with_ok_status(self._drainer.drain(name))
+        return Err(_make_fault(ResultCode.UNKNOWN_PATH, f"no such path or method: {path}"))
 
-    def _change(self, request: ChangeRequest) -> Result[tuple[HTTPStatus, object], Fault]:
-        return self._changes.publish(request).map(_change_answer)
+    def _publish(self, request: ChangeRequest) -> Result[tuple[HTTPStatus, object], Fault]:
+        return self._publisher.publish(request).map(_with_verdict_status)
 
-    def _report(self) -> FleetReport:
-        routers, silent = self._status.collect()
-        return FleetReport(answered_by=self._status.own().name, routers=routers, silent=silent)
+    def _report_fleet(self) -> FleetReport:
+        routers, silent = self._fleet_status.collect()
+        return FleetReport(
+            answered_by=self._fleet_status.own().name, routers=routers, silent=silent
+        )
 
     def _report_targets(self) -> TargetReport:
-        name = self._status.own().name
+        name = self._fleet_status.own().name
         return TargetReport(answered_by=name, targets=self._targets.statuses())
 
 
@@ -150,28 +152,32 @@
     return [json.dumps(DOCUMENT_CODEC.unstructure(document)).encode()]
 
 
-def _plain(result: Result[Any, Fault]) -> Result[tuple[HTTPStatus, object], Fault]:
+def _with_ok_status(result: Result[Any, Fault]) -> Result[tuple[HTTPStatus, object], Fault]:
     return result.map(lambda document: (HTTPStatus.OK, document))
 
 
-def _change_answer(outcome: Any) -> tuple[HTTPStatus, object]:
+def _with_verdict_status(outcome: Any) -> tuple[HTTPStatus, object]:
     return _VERDICT_STATUS.get(outcome.verdict, HTTPStatus.UNPROCESSABLE_ENTITY), outcome
 
 
-def _read(environ: Environ, kind: type[T], *, most: int = MAX_BODY) -> Result[T, Fault]:
+def _read_document(
+    environ: Environ, kind: type[T], *, max_bytes: int = MAX_BODY_BYTES
+) -> Result[T, Fault]:
     length = environ.get("CONTENT_LENGTH") or "0"
     if not length.isdecimal():
-        return Err(_fault(ResultCode.MALFORMED_REQUEST, "the content length is not a number"))
-    if int(length) > most:
-        return Err(_fault(ResultCode.BODY_TOO_LARGE, f"the body is longer than {most} bytes"))
+        return Err(_make_fault(ResultCode.MALFORMED_REQUEST, "the content length is not a number"))
+    if int(length) > max_bytes:
+        return Err(
+            _make_fault(ResultCode.BODY_TOO_LARGE, f"the body is longer than {max_bytes} bytes")
+        )
     try:
         return Ok(CODEC.structure(json.loads(environ["wsgi.input"].read(int(length))), kind))
     except BaseValidationError as error:
-        return Err(_fault(ResultCode.INVALID_MANIFEST, "; ".join(error_lines(error))))
-    except Exception as error:  # json and hooks raise many types on hostile bytes
-        detail = f"not a change: {type(error).__name__}: {error}"
-        return Err(_fault(ResultCode.MALFORMED_REQUEST, detail))
+        return Err(_make_fault(ResultCode.INVALID_MANIFEST, "; ".join(error_lines(error))))
+    except Exception as error:  # json and the codec's hooks raise many types on invalid bytes
+        detail = f"the body can't be decoded: {type(error).__name__}: {error}"
+        return Err(_make_fault(ResultCode.MALFORMED_REQUEST, detail))
 
 
-def _fault(code: ResultCode, detail: str) -> Fault:
+def _make_fault(code: ResultCode, detail: str) -> Fault:
     return Fault(code=code, detail=detail)
--- a/packages/loomyard-router/src/loomyard_router/operators/changes.py
+++ b/packages/loomyard-router/src/loomyard_router/operators/changes.py
@@ -1,4 +1,4 @@
-"""Publish operators' changes on the log and learn what was decided."""
+"""Publication of operators' changes on the log, and their verdicts."""
 
 from __future__ import annotations
 
@@ -33,24 +33,24 @@
 logger = logging.getLogger(__name__)
 
 SETTLE_SECONDS = 5.0
-MOST_WAIT_SECONDS = 60.0
-DRAIN_TRIES = 5
+MAX_WAIT_SECONDS = 60.0
+MAX_DRAIN_ATTEMPTS = 5
 CHANGE_ID_BYTES = 16
 
 
 class ChangePublisher:
-    """Append a change once; log order decides about it, and reading tells what it decided."""
+    """Appends each change once, and returns the verdict that is read back from the log."""
 
     def __init__(
-        self, *, clock: Clock, log: LogService, follower: ConfigFollower, status: FleetStatus
+        self, *, clock: Clock, log: LogService, follower: ConfigFollower, fleet_status: FleetStatus
     ) -> None:
         self._clock = clock
         self._log = log
         self._follower = follower
-        self._status = status
+        self._fleet_status = fleet_status
 
     def publish(self, request: ChangeRequest) -> Result[ChangeOutcome, Fault]:
-        """Publish a change and say what came of it; repeating a settled ``change_id`` is safe.
+        """Publish a change and return its outcome; idempotent for a settled ``change_id``.
 
         Errors: ``CHANGE_REJECTED`` (not appended), ``LOG_UNAVAILABLE`` (not appended),
         ``CHANGE_UNSETTLED``.
@@ -61,27 +61,27 @@
             puts=request.puts,
             deletions=request.deletions,
         )
-        settled = self._settle(change)
+        settled = self._append(change)
         if settled.is_err():
             return Err(settled.unwrap_err())
-        wait = min(max(request.wait_seconds, 0.0), MOST_WAIT_SECONDS)
+        wait = min(max(request.wait_seconds, 0.0), MAX_WAIT_SECONDS)
         return Ok(self._outcome(settled.unwrap(), wait))
 
     def find(self, change_id: str) -> Result[ChangeOutcome, Fault]:
-        """Return what was decided about a change that this router has read.
+        """Return the outcome of a change, without waiting for other routers.
 
-        Error: ``CHANGE_UNSETTLED``.
+        Error: ``CHANGE_UNSETTLED`` if this router has not read the change.
         """
         settled = self._follower.await_settled(change_id, self._clock.now())
         return settled.map(lambda found: self._outcome(found, 0.0))
 
     def drain_target(self, name: str, author: str) -> Result[ChangeOutcome, Fault]:
-        """Let a target leave by a change of its state.
+        """Publish a change of a target's state to ``LEAVING``, with retries if it was stale.
 
         Errors: ``UNKNOWN_OBJECT`` and those of ``publish``.
         """
         ref = ObjectRef(Target.__name__, name)
-        for _ in range(DRAIN_TRIES):
+        for _ in range(MAX_DRAIN_ATTEMPTS):
             versioned = self._follower.state.get(ref)
             if versioned is None or not isinstance(versioned.object, Target):
                 return Err(Fault(code=ResultCode.UNKNOWN_OBJECT, detail=f"there is no {ref}"))
@@ -92,20 +92,20 @@
                 break
         return outcome
 
-    def _settle(self, change: Change) -> Result[SettledChange, Fault]:
+    def _append(self, change: Change) -> Result[SettledChange, Fault]:
         known = self._follower.replica.settled(change.change_id)
         if known is not None:
             return Ok(known)
         try:
             payload = encode(change)
         except UnicodeEncodeError as error:
-            return Err(Fault(code=ResultCode.CHANGE_REJECTED, detail=f"not text: {error}"))
-        if fault := _form_fault(change, payload):
+            return Err(Fault(code=ResultCode.CHANGE_REJECTED, detail=f"invalid text: {error}"))
+        if fault := _check_form(change, payload):
             return Err(fault)
         appended = self._log.append(CONFIG_STREAM, payload)
         if appended.is_err() and appended.unwrap_err().code is not ResultCode.LOG_ANSWER_LOST:
             return Err(appended.unwrap_err())
-        # After a lost answer the record may be there: reading decides, never a second append.
+        # After a lost answer the record may be in the log: it is read back, not appended again.
         return self._follower.await_settled(change.change_id, self._clock.now() + SETTLE_SECONDS)
 
     def _outcome(self, settled: SettledChange, wait: float) -> ChangeOutcome:
@@ -125,11 +125,11 @@
         )
         if decision.verdict is not Verdict.ACCEPTED:
             return outcome
-        spread = self._status.await_in_force(settled.offset, self._clock.now() + wait)
-        return evolve(outcome, in_force=spread.in_force, lagging=spread.lagging)
+        reached = self._fleet_status.await_in_force(settled.offset, self._clock.now() + wait)
+        return evolve(outcome, in_force=reached.in_force, lagging=reached.lagging)
 
 
-def _form_fault(change: Change, payload: bytes) -> Fault | None:
+def _check_form(change: Change, payload: bytes) -> Fault | None:
     if len(payload) > MAX_CHANGE_BYTES:
         detail = f"the change takes {len(payload)} bytes of {MAX_CHANGE_BYTES}; split it"
         return Fault(code=ResultCode.CHANGE_REJECTED, detail=detail)
--- a/packages/loomyard-router/src/loomyard_router/operators/restores.py
+++ b/packages/loomyard-router/src/loomyard_router/operators/config_restorer.py
@@ -1,4 +1,4 @@
-"""A new start for a fleet whose configuration the log service has forgotten."""
+"""Restore of the configuration after the log service has lost it."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
 WAIT_SECONDS = 10.0
 
 
-class Restores:
-    """Write a snapshot of operators' objects as of the end of the log.
+class ConfigRestorer:
+    """Writes a snapshot of objects given by operators, as of the end of the log.
 
-    Only where records are gone and no router that can be reached has any configuration: then
-    there is nothing that the snapshot could revert.
+    Allowed only where records are missing and no reachable router has a configuration, so that the
+    snapshot can't revert anything.
     """
 
     def __init__(
@@ -52,19 +52,19 @@
         log: LogService,
         follower: ConfigFollower,
         snapshots: LogSnapshots,
-        status: FleetStatus,
+        fleet_status: FleetStatus,
     ) -> None:
         self._clock = clock
         self._log = log
         self._follower = follower
         self._snapshots = snapshots
-        self._status = status
+        self._fleet_status = fleet_status
 
     def restore(self, objects: list[ConfigObject]) -> Result[ChangeOutcome, Fault]:
-        """Let the fleet start from the objects.
+        """Write a snapshot of the objects and wait until the routers have adopted it.
 
         Errors: ``CHANGE_REJECTED`` (nothing was written), ``LOG_UNAVAILABLE`` and
-        ``LOG_ANSWER_LOST`` (an incomplete snapshot is of no effect).
+        ``LOG_ANSWER_LOST`` (an incomplete snapshot has no effect).
         """
         if (refusal := self._find_refusal(objects)) is not None:
             return Err(Fault(code=ResultCode.CHANGE_REJECTED, detail=refusal))
@@ -77,28 +77,28 @@
         written = self._snapshots.write(state)
         if written.is_err():
             return Err(written.unwrap_err())
-        name = self._status.own().name
+        name = self._fleet_status.own().name
         notice = make_notice(state, writer=name, written_at=self._clock.wall())
         self._log.append(CONFIG_STREAM, encode(notice))
         emit(logger, Event.CONFIGURATION_RESTORED, as_of=offset, objects=len(objects))
-        spread = self._status.await_in_force(offset, self._clock.now() + WAIT_SECONDS)
+        reached = self._fleet_status.await_in_force(offset, self._clock.now() + WAIT_SECONDS)
         return Ok(
             ChangeOutcome(
                 change_id=RESTORE_ID,
                 offset=offset,
                 verdict=Verdict.ACCEPTED.value,
-                in_force=spread.in_force,
-                lagging=spread.lagging,
+                in_force=reached.in_force,
+                lagging=reached.lagging,
             )
         )
 
     def _find_refusal(self, objects: list[ConfigObject]) -> str | None:
         if not (self._follower.has_gap and self._follower.log_reachable):
             return "the log service has the records of the configuration, or cannot be reached"
-        known, _ = self._status.collect()
+        known, _ = self._fleet_status.collect()
         holders = [status.name for status in known if status.version != EMPTY_VERSION]
         if holders:
-            return f"{', '.join(holders)} has a configuration and will give it to the others"
+            return f"{', '.join(holders)} has a configuration, which the other routers will adopt"
         puts = [Put(object=item) for item in objects]
         decision = decide(ConfigState(), Change(change_id=RESTORE_ID, puts=puts))
         return None if decision.verdict is Verdict.ACCEPTED else decision.detail
--- a/packages/loomyard-router/src/loomyard_router/operators/documents.py
+++ b/packages/loomyard-router/src/loomyard_router/operators/documents.py
@@ -1,4 +1,4 @@
-"""The JSON documents of the operators' interface."""
+"""JSON documents of the operators' interface."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @frozen(kw_only=True)
 class ChangeRequest:
-    """Ask for a change; ``wait_seconds`` is how long to wait for all routers."""
+    """Request for a change; waits up to ``wait_seconds`` until it is in force on all routers."""
 
     change_id: str = ""
     author: str = ""
@@ -23,14 +23,14 @@
 
 @frozen(kw_only=True)
 class RestoreRequest:
-    """Ask for a new start from all objects."""
+    """Request to restore a lost configuration from all its objects."""
 
     objects: list[ConfigObject]
 
 
 @frozen(kw_only=True)
-class Laggard:
-    """A router on which a change is not known to be in force."""
+class RouterIssue:
+    """A router that does not answer or on which a change is not in force; ``detail`` says which."""
 
     name: str
     detail: str
@@ -38,19 +38,19 @@
 
 @frozen(kw_only=True)
 class ChangeOutcome:
-    """What a change came to."""
+    """Verdict on a change, and the routers on which it is in force or not yet."""
 
     change_id: str
     offset: int
     verdict: str
     detail: str = ""
     in_force: list[str] = field(factory=list)
-    lagging: list[Laggard] = field(factory=list)
+    lagging: list[RouterIssue] = field(factory=list)
 
 
 @frozen(kw_only=True)
 class ObjectEntry:
-    """An object and its version."""
+    """An object and the version of its last change."""
 
     object: ConfigObject
     version: int = ABSENT
@@ -67,7 +67,7 @@
 
 @frozen(kw_only=True)
 class DrainOutcome:
-    """What a drain came to."""
+    """Outcome of the request to drain a router."""
 
     name: str
     detail: str
@@ -75,16 +75,16 @@
 
 @frozen(kw_only=True)
 class FleetReport:
-    """How the routers are, as the one asked sees it."""
+    """Status of all routers that the answering router considers alive."""
 
     answered_by: str
     routers: list[RouterStatus] = field(factory=list)
-    silent: list[Laggard] = field(factory=list)
+    silent: list[RouterIssue] = field(factory=list)
 
 
 @frozen(kw_only=True)
 class TargetReport:
-    """How the targets stand in the eyes of the router asked."""
+    """Status of the targets as seen by the answering router."""
 
     answered_by: str
     targets: list[TargetStatus] = field(factory=list)
--- a/packages/loomyard-router/src/loomyard_router/operators/fleet_status.py
+++ b/packages/loomyard-router/src/loomyard_router/operators/fleet_status.py
@@ -1,4 +1,4 @@
-"""How the routers of the fleet are, asked over the links between them."""
+"""Status of the routers of the fleet, requested over peer links."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from loomyard.configuration import format_digest
 from loomyard_router.configuration.messages import RouterStatus, StatusRequest
-from loomyard_router.operators.documents import Laggard
+from loomyard_router.operators.documents import RouterIssue
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -21,20 +21,20 @@
 
 CONCURRENCY = 32
 REQUEST_SECONDS = 1.0
-REPEAT_SECONDS = 0.1
-_BRIEF = StatusRequest()
+POLL_SECONDS = 0.1
+_WITHOUT_MEMBERS = StatusRequest()
 
 
 @frozen
-class Spread:
-    """Where a log offset is in force."""
+class Propagation:
+    """The routers that have applied a log offset, and those that have not or do not answer."""
 
     in_force: list[str]
-    lagging: list[Laggard]
+    lagging: list[RouterIssue]
 
 
 class FleetStatus:
-    """Answer for this router, and ask the others."""
+    """Requests the status of other routers, and answers for this one."""
 
     def __init__(
         self,
@@ -49,11 +49,11 @@
         self._follower = follower
         self._members = members
         self._peers = peers
-        self._stopping = stopping
+        self._is_stopping = stopping
         peers.handle(StatusRequest, lambda _, request: self.own(members=request.members))
 
     def own(self, *, members: bool = True) -> RouterStatus:
-        """Return how this router is, with the names of the members if asked."""
+        """Return the status of this router, with the names of live members if ``members``."""
         follower, member = self._follower, self._members.own
         state = follower.state
         return RouterStatus(
@@ -64,41 +64,43 @@
             applied=state.applied,
             digest=format_digest(state.digest),
             ready=follower.ready,
-            stopping=self._stopping(),
+            stopping=self._is_stopping(),
             log_reachable=follower.log_reachable,
             behind=follower.missing_records,
             members=[other.name for other in self._members.live()] if members else [],
         )
 
-    def collect(self) -> tuple[list[RouterStatus], list[Laggard]]:
-        """Return how each router is, and who did not answer."""
+    def collect(self) -> tuple[list[RouterStatus], list[RouterIssue]]:
+        """Return the status of each live router, and the routers that did not answer."""
         names = [member.name for member in self._members.live()]
-        found = dict(zip(names, Pool(CONCURRENCY).map(self._ask_all, names), strict=True))
+        found = dict(
+            zip(names, Pool(CONCURRENCY).map(self._request_with_members, names), strict=True)
+        )
         known = [status for status in found.values() if status is not None]
-        silent = [n for n, status in found.items() if status is None]
-        return known, [Laggard(name=name, detail="does not answer") for name in silent]
+        unresponsive = [n for n, status in found.items() if status is None]
+        return known, [RouterIssue(name=name, detail="does not answer") for name in unresponsive]
 
-    def await_in_force(self, offset: int, deadline: float) -> Spread:
-        """Ask until every live router has applied a log offset or the deadline has passed."""
+    def await_in_force(self, offset: int, deadline: float) -> Propagation:
+        """Poll until every live router has applied a log offset, or until the deadline."""
         in_force: set[str] = set()
         while True:
             names = {member.name for member in self._members.live()}
             waiting = sorted(names - in_force)
-            found = Pool(CONCURRENCY).map(self._ask, waiting)
+            found = Pool(CONCURRENCY).map(self._request, waiting)
             lagging = []
             for name, status in zip(waiting, found, strict=True):
                 if status is not None and status.applied >= offset:
                     in_force.add(name)
                 else:
-                    lagging.append(Laggard(name=name, detail=_describe(status)))
-            if not lagging or self._clock.now() + REPEAT_SECONDS > deadline:
-                return Spread(sorted(in_force & names), lagging)
-            self._clock.sleep(REPEAT_SECONDS)
+                    lagging.append(RouterIssue(name=name, detail=_describe(status)))
+            if not lagging or self._clock.now() + POLL_SECONDS > deadline:
+                return Propagation(sorted(in_force & names), lagging)
+            self._clock.sleep(POLL_SECONDS)
 
-    def _ask_all(self, name: str) -> RouterStatus | None:
-        return self._ask(name, StatusRequest(members=True))
+    def _request_with_members(self, name: str) -> RouterStatus | None:
+        return self._request(name, StatusRequest(members=True))
 
-    def _ask(self, name: str, request: StatusRequest = _BRIEF) -> RouterStatus | None:
+    def _request(self, name: str, request: StatusRequest = _WITHOUT_MEMBERS) -> RouterStatus | None:
         if name == self._members.own.name:
             return self.own(members=request.members)
         deadline = self._clock.now() + REQUEST_SECONDS
@@ -109,5 +111,5 @@
 def _describe(status: RouterStatus | None) -> str:
     if status is None:
         return "does not answer"
-    reach = "" if status.log_reachable else ", cannot reach the log service"
-    return f"has applied offset {status.applied}{reach}"
+    log_issue = "" if status.log_reachable else ", cannot reach the log service"
+    return f"has applied offset {status.applied}{log_issue}"
--- a/packages/loomyard-router/src/loomyard_router/operators/interface.py
+++ b/packages/loomyard-router/src/loomyard_router/operators/interface.py
@@ -1,4 +1,4 @@
-"""The operators' interface of a router: its parts and its listener."""
+"""The operators' interface of a router: its components and its listener."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from loomyard_router.configuration.log_snapshots import LogSnapshots
 from loomyard_router.operators.app import OperatorsApp
 from loomyard_router.operators.changes import ChangePublisher
-from loomyard_router.operators.explanations import Explanations
+from loomyard_router.operators.config_restorer import ConfigRestorer
 from loomyard_router.operators.fleet_status import FleetStatus
 from loomyard_router.operators.keys import OperatorKeys
-from loomyard_router.operators.restores import Restores
-from loomyard_router.operators.router_drains import RouterDrains
+from loomyard_router.operators.request_explainer import RequestExplainer
+from loomyard_router.operators.router_drainer import RouterDrainer
 from loomyard_router.operators.server import OperatorServer
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
 
 
 class OperatorsInterface(OptionalListener):
-    """Answer operators on a listener of their own; without an address only peers are answered."""
+    """Listener of the operators' interface; without an address it does not listen."""
 
 
 def make_operators_interface(
@@ -35,25 +35,32 @@
     stopping: Callable[[], bool],
     begin_stop: Callable[[], None],
 ) -> OperatorsInterface:
-    """Wire the operators' interface and register its messages between routers."""
+    """Wire the operators' interface, and register the handlers of its peer messages.
+
+    Peers are answered even where the router has no address for operators.
+    """
     clock, follower, members, peers = platform.clock, parts.follower, parts.members, parts.peers
-    status = FleetStatus(
+    fleet_status = FleetStatus(
         clock=clock, follower=follower, members=members, peers=peers, stopping=stopping
     )
     app = OperatorsApp(
         keys=OperatorKeys(settings.operator_keys),
         follower=follower,
-        changes=ChangePublisher(clock=clock, log=platform.log, follower=follower, status=status),
-        status=status,
-        explanations=Explanations(clock=clock, journal=parts.journal, members=members, peers=peers),
-        restores=Restores(
+        publisher=ChangePublisher(
+            clock=clock, log=platform.log, follower=follower, fleet_status=fleet_status
+        ),
+        fleet_status=fleet_status,
+        explainer=RequestExplainer(
+            clock=clock, journal=parts.journal, members=members, peers=peers
+        ),
+        restorer=ConfigRestorer(
             clock=clock,
             log=platform.log,
             follower=follower,
             snapshots=LogSnapshots(platform.log),
-            status=status,
+            fleet_status=fleet_status,
         ),
-        drains=RouterDrains(clock=clock, members=members, peers=peers, begin_stop=begin_stop),
+        drainer=RouterDrainer(clock=clock, members=members, peers=peers, begin_stop=begin_stop),
         targets=parts.targets,
     )
     return OperatorsInterface(_make_server(settings, app))
--- a/packages/loomyard-router/src/loomyard_router/operators/keys.py
+++ b/packages/loomyard-router/src/loomyard_router/operators/keys.py
@@ -1,4 +1,4 @@
-"""Bearer keys of operators."""
+"""Authentication of operators by bearer keys."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class OperatorKeys:
-    """The digests of the keys; the keys themselves are kept nowhere."""
+    """Digests of the valid keys; the keys themselves are not stored."""
 
     def __init__(self, digests: Iterable[str]) -> None:
         self._digests = tuple(digests)
 
     def accepts(self, authorization: str) -> bool:
-        """Tell whether an Authorization header carries a valid key, in constant time."""
+        """Return whether an Authorization header carries a valid key, in constant time."""
         key = authorization[len(BEARER) :].strip() if authorization.startswith(BEARER) else ""
         digest = digest_key(key)
-        known = [hmac.compare_digest(digest, kept) for kept in self._digests]
-        return bool(key) and any(known)
+        matches = [hmac.compare_digest(digest, valid) for valid in self._digests]
+        return bool(key) and any(matches)
--- a/packages/loomyard-router/src/loomyard_router/operators/messages.py
+++ b/packages/loomyard-router/src/loomyard_router/operators/messages.py
@@ -1,4 +1,4 @@
-"""Messages between routers that answer operators."""
+"""Messages between routers on behalf of operators."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 @peer_message("ExplainRequest")
 @frozen(kw_only=True)
 class ExplainRequest:
-    """Ask for the journal of a request; answered by ``Explanation``."""
+    """Request for the journal of a request; answered by ``Explanation``."""
 
     request_id: str
 
@@ -19,7 +19,7 @@
 @peer_message("Explanation")
 @frozen(kw_only=True)
 class Explanation:
-    """What a router remembers of a request."""
+    """Journal entries of a request at one router."""
 
     router: str
     entries: list[JournalEntry] = field(factory=list)
@@ -28,7 +28,7 @@
 @peer_message("DrainRequest")
 @frozen(kw_only=True)
 class DrainRequest:
-    """Ask a router for a planned stop; answered by ``DrainAnswer``."""
+    """Request for the planned stop of one incarnation of a router; answered by ``DrainAnswer``."""
 
     incarnation: int
 
@@ -36,7 +36,7 @@
 @peer_message("DrainAnswer")
 @frozen(kw_only=True)
 class DrainAnswer:
-    """Whether the planned stop began."""
+    """Whether the planned stop was started, else the reason in ``detail``."""
 
     accepted: bool
     detail: str = ""
--- a/packages/loomyard-router/src/loomyard_router/operators/router_drains.py
+++ b/packages/loomyard-router/src/loomyard_router/operators/router_drainer.py
@@ -1,4 +1,4 @@
-"""Planned stops of routers that operators ask for."""
+"""Planned stops of routers, requested by operators."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 REQUEST_SECONDS = 2.0
 
 
-class RouterDrains:
-    """Begin the planned stop here or ask for it elsewhere."""
+class RouterDrainer:
+    """Starts the planned stop of this router, or requests it from another."""
 
     def __init__(
         self,
@@ -39,10 +39,10 @@
         self._members = members
         self._peers = peers
         self._begin_stop = begin_stop
-        peers.handle(DrainRequest, self._handle)
+        peers.handle(DrainRequest, self._answer)
 
     def drain(self, name: str) -> Result[DrainOutcome, Fault]:
-        """Begin the planned stop of a router.
+        """Start the planned stop of a router.
 
         Errors: ``UNKNOWN_OBJECT``, ``PEER_UNREACHABLE``, ``PEER_REFUSED``.
         """
@@ -51,16 +51,16 @@
             return Err(Fault(code=ResultCode.UNKNOWN_OBJECT, detail=f"no router {name!r}"))
         request = DrainRequest(incarnation=member.incarnation)
         if name == self._members.own.name:
-            return _outcome(name, self._handle(member, request))
+            return _outcome(name, self._answer(member, request))
         deadline = self._clock.now() + REQUEST_SECONDS
         answered = self._peers.request(name, request, deadline)
         if answered.is_err():
             return Err(answered.unwrap_err())
         return _outcome(name, answered.unwrap())
 
-    def _handle(self, _: Member, request: DrainRequest) -> DrainAnswer:
+    def _answer(self, _: Member, request: DrainRequest) -> DrainAnswer:
         if request.incarnation != self._members.own.incarnation:
-            return DrainAnswer(accepted=False, detail="that incarnation is gone")
+            return DrainAnswer(accepted=False, detail="the request is for another incarnation")
         emit(logger, Event.OPERATOR_DRAIN, router=self._members.own.name)
         self._begin_stop()
         return DrainAnswer(accepted=True)
@@ -68,6 +68,6 @@
 
 def _outcome(name: str, answer: object) -> Result[DrainOutcome, Fault]:
     if isinstance(answer, DrainAnswer) and answer.accepted:
-        return Ok(DrainOutcome(name=name, detail="the planned stop began"))
+        return Ok(DrainOutcome(name=name, detail="the planned stop has begun"))
     detail = answer.detail if isinstance(answer, DrainAnswer) else "no valid answer"
     return Err(Fault(code=ResultCode.PEER_REFUSED, detail=detail))
--- a/packages/loomyard-router/src/loomyard_router/operators/server.py
+++ b/packages/loomyard-router/src/loomyard_router/operators/server.py
@@ -1,4 +1,4 @@
-"""The listener of operators."""
+"""WSGI server of the operators' interface."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 logger = logging.getLogger(__name__)
 
-CONNECTIONS = 256
+MAX_CONNECTIONS = 256
 
 
 class OperatorServer(WSGIServer):
-    """A WSGI server with a bound on connections; a failed handshake is one event."""
+    """A WSGI server with limited connections, which logs a failed TLS handshake as one event."""
 
     def __init__(self, listener: tuple[str, int], application: Any, **tls: str) -> None:
-        pool = Pool(CONNECTIONS)
+        pool = Pool(MAX_CONNECTIONS)
         super().__init__(listener, application, log=None, error_log=logger, spawn=pool, **tls)
 
     def wrap_socket_and_handle(self, client_socket: Any, address: Any) -> Any:
--- a/tests/test_loomyard_router/test_operators.py
+++ b/tests/test_loomyard_router/test_operators.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' interface over several routers."""
+"""Tests of the operators' interface on three routers that share a log, without sockets."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from loomyard_router.configuration.log_snapshots import LogSnapshots
 from loomyard_router.operators.app import OperatorsApp
 from loomyard_router.operators.changes import ChangePublisher
-from loomyard_router.operators.explanations import Explanations
+from loomyard_router.operators.config_restorer import ConfigRestorer
 from loomyard_router.operators.fleet_status import FleetStatus
 from loomyard_router.operators.keys import OperatorKeys
 from loomyard_router.operators.messages import DrainRequest
-from loomyard_router.operators.restores import Restores
-from loomyard_router.operators.router_drains import RouterDrains
+from loomyard_router.operators.request_explainer import RequestExplainer
+from loomyard_router.operators.router_drainer import RouterDrainer
 from loomyard_router.requests.journal import Journal, Step
 from loomyard_router.targets.directory import make_configured_targets
 from loomyard_standins.config_fleet import ConfigFleet, ConfigRouter
@@ -30,30 +30,34 @@
 HANG_SECONDS = 5.0
 
 
-class Operated:
-    """A router with an operators' interface that is called without sockets."""
+class OperatedRouter:
+    """A router with an operators' interface whose WSGI application is called directly."""
 
     def __init__(self, fleet: ConfigFleet, router: ConfigRouter) -> None:
-        self.router = router
+        self.config_router = router
         self.journal = Journal(fleet.clock)
         self.stops = 0
         clock, follower = fleet.clock, router.follower
-        among = {"members": router.members, "peers": router.links}
-        status = FleetStatus(clock=clock, follower=follower, stopping=lambda: False, **among)
+        network = {"members": router.members, "peers": router.links}
+        fleet_status = FleetStatus(
+            clock=clock, follower=follower, stopping=lambda: False, **network
+        )
         self.app = OperatorsApp(
             keys=OperatorKeys([digest_key(KEY)]),
             follower=follower,
-            changes=ChangePublisher(clock=clock, log=fleet.log, follower=follower, status=status),
-            status=status,
-            explanations=Explanations(clock=clock, journal=self.journal, **among),
-            restores=Restores(
+            publisher=ChangePublisher(
+                clock=clock, log=fleet.log, follower=follower, fleet_status=fleet_status
+            ),
+            fleet_status=fleet_status,
+            explainer=RequestExplainer(clock=clock, journal=self.journal, **network),
+            restorer=ConfigRestorer(
                 clock=clock,
                 log=fleet.log,
                 follower=follower,
                 snapshots=LogSnapshots(fleet.log),
-                status=status,
+                fleet_status=fleet_status,
             ),
-            drains=RouterDrains(clock=clock, begin_stop=self.stop, **among),
+            drainer=RouterDrainer(clock=clock, begin_stop=self.stop, **network),
             targets=make_configured_targets(),
         )
 
@@ -75,7 +79,7 @@
             "wsgi.input": io.BytesIO(body),
         }
         statuses: list[str] = []
-        with gevent.Timeout(HANG_SECONDS):  # the clock of a fault that waits never moves
+        with gevent.Timeout(HANG_SECONDS):  # the fake clock stands still, so a wait would hang
             answer = b"".join(self.app(environ, lambda status, _: statuses.append(status)))
         return int(statuses[0].split()[0]), json.loads(answer)
 
@@ -88,15 +92,15 @@
 class OperatorsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.fleet = ConfigFleet()
-        self.routers = [Operated(self.fleet, self.fleet.start(name)) for name in "abc"]
-        self.followed = [operated.router.follower for operated in self.routers]
+        self.routers = [OperatedRouter(self.fleet, self.fleet.start(name)) for name in "abc"]
+        self.followers = [router.config_router.follower for router in self.routers]
 
-    def publish(self, operated: Operated, document: dict[str, Any]) -> tuple[int, Any]:
-        return self.post(operated, "changes", document)
+    def publish(self, router: OperatedRouter, document: dict[str, Any]) -> tuple[int, Any]:
+        return self.post(router, "changes", document)
 
-    def post(self, operated: Operated, path: str, document: dict[str, Any]) -> tuple[int, Any]:
-        """Post while the routers follow the log."""
-        task = gevent.spawn(operated.call, "POST", path, document)
+    def post(self, router: OperatedRouter, path: str, document: dict[str, Any]) -> tuple[int, Any]:
+        """Post a document while all routers poll the log."""
+        task = gevent.spawn(router.call, "POST", path, document)
         while not task.ready():
             gevent.sleep(0)
             self.poll()
@@ -104,37 +108,37 @@
         return task.get()
 
     def poll(self) -> None:
-        for follower in self.followed:
+        for follower in self.followers:
             follower.poll()
 
-    def test_of_racing_operators_one_wins_everywhere(self) -> None:
+    def test_one_of_three_concurrent_changes_is_accepted_on_every_router(self) -> None:
         tasks = [
-            gevent.spawn(operated.call, "POST", "changes", put(weight))
-            for operated, weight in zip(self.routers, (1.0, 2.0, 3.0), strict=True)
+            gevent.spawn(router.call, "POST", "changes", put(weight))
+            for router, weight in zip(self.routers, (1.0, 2.0, 3.0), strict=True)
         ]
         gevent.sleep(0)
-        for follower in self.followed:
+        for follower in self.followers:
             follower.poll()
         answers = [task.get() for task in tasks]
         self.assertEqual([status for status, _ in answers], [200, 409, 409])
-        self.assertEqual({f.state.digest for f in self.followed}, {self.followed[0].state.digest})
+        self.assertEqual({f.state.digest for f in self.followers}, {self.followers[0].state.digest})
         self.assertIn("based on absence, now version 0", answers[1][1]["detail"])
 
-    def test_a_router_that_lags_is_named(self) -> None:
-        self.followed.pop()
+    def test_lagging_and_unresponsive_routers_are_listed(self) -> None:
+        self.followers.pop()
         status, outcome = self.publish(self.routers[0], put(1.0))
         self.assertEqual((status, outcome["in_force"]), (200, ["a", "b"]))
-        laggard = {"name": "c", "detail": "has applied offset -1, cannot reach the log service"}
-        self.assertEqual(outcome["lagging"], [laggard])
+        issue = {"name": "c", "detail": "has applied offset -1, cannot reach the log service"}
+        self.assertEqual(outcome["lagging"], [issue])
         self.fleet.network.cut({"a"}, {"b"})
         _, report = self.routers[0].call("GET", "status")
         self.assertEqual(
             [(r["name"], r["version"]) for r in report["routers"]], [("a", 0), ("c", -1)]
         )
-        self.assertEqual([laggard["name"] for laggard in report["silent"]], ["b"])
+        self.assertEqual([issue["name"] for issue in report["silent"]], ["b"])
 
-    def test_a_change_whose_fate_is_unknown_is_said_so_and_found_later(self) -> None:
-        class Losing:
+    def test_a_change_whose_append_was_not_answered_is_unsettled_and_found_later(self) -> None:
+        class AnswerLosingLog:
             def append(self, stream: str, payload: bytes) -> Any:
                 lost.append(payload)
                 return Err(
@@ -142,17 +146,17 @@
                 )
 
         lost: list[bytes] = []
-        changes = self.routers[0].app._changes
-        changes._log = Losing()
+        publisher = self.routers[0].app._publisher
+        publisher._log = AnswerLosingLog()
         document = put(1.0) | {"change_id": "mine"}
         task = gevent.spawn(self.routers[0].call, "POST", "changes", document)
         gevent.sleep(0)
         self.fleet.clock.advance(5.0)
-        self.followed[0].replica._updated.set()
+        self.followers[0].replica._updated.set()
         self.assertEqual((task.get()[0], task.get()[1]["code"]), (504, 5004))
         self.assertEqual(len(lost), 1)
         self.fleet.append_record(lost[0])
-        self.followed[1].poll()
+        self.followers[1].poll()
         status, outcome = self.routers[1].call("GET", "changes/mine")
         self.assertEqual((status, outcome["verdict"], outcome["offset"]), (200, "accepted", 0))
 
@@ -163,7 +167,7 @@
             self.assertEqual((status, outcome["verdict"], outcome["offset"]), (200, "accepted", 0))
         self.assertEqual(self.fleet.log.appends, 1)
 
-    def test_what_is_wrong_in_form_never_reaches_the_log(self) -> None:
+    def test_malformed_changes_are_not_appended(self) -> None:
         big = put(1.0)
         big["puts"][0]["object"]["metadata"]["labels"] = {"x": "y" * 600_000}
         surrogate = json.dumps(put(1.0)).replace(
@@ -177,7 +181,7 @@
                 self.assertIn(problem["code"], (1001, 5001, 5003))
         self.assertEqual(self.fleet.log.appends, 0)
 
-    def test_strangers_are_refused(self) -> None:
+    def test_calls_without_a_valid_key_are_refused(self) -> None:
         for key in ("wrong", "", KEY + "x", digest_key(KEY)):
             for method, path in (
                 ("GET", "objects"),
@@ -188,18 +192,18 @@
                 self.assertEqual((status, problem["code"]), (401, ResultCode.OPERATOR_REFUSED))
         self.assertEqual((self.fleet.log.appends, self.routers[0].stops), (0, 0))
 
-    def test_a_forgotten_configuration_is_restored(self) -> None:
+    def test_a_configuration_whose_records_were_trimmed_is_restored(self) -> None:
         account = put(2.0)["puts"][0]["object"]
         self.fleet.grow(4)
         self.fleet.log.trim(CONFIG_STREAM, 2)
         self.poll()
         status, outcome = self.post(self.routers[0], "restore", {"objects": [account]})
         self.assertEqual((status, outcome["in_force"]), (200, ["a", "b", "c"]))
-        self.assertEqual({f.state.digest for f in self.followed}, {self.followed[0].state.digest})
+        self.assertEqual({f.state.digest for f in self.followers}, {self.followers[0].state.digest})
         status, outcome = self.publish(self.routers[1], put(3.0, based_on=3))
         self.assertEqual((status, outcome["in_force"]), (200, ["a", "b", "c"]))
 
-    def test_nothing_is_restored_over_a_configuration(self) -> None:
+    def test_a_restore_is_refused_while_a_router_or_the_log_has_a_configuration(self) -> None:
         objects = {"objects": [put(2.0)["puts"][0]["object"]]}
         route = {"kind": "Route", "metadata": {"name": "r"}, "service": "none"}
         self.poll()
@@ -210,22 +214,24 @@
         self.poll()
         status, problem = self.routers[0].call("POST", "restore", {"objects": [route]})
         self.assertEqual((status, problem["detail"]), (422, "Route/r: there is no Service/none"))
-        self.followed[1].replica.adopt_newer(self.fleet.fold_all())
+        self.followers[1].replica.adopt_newer(self.fleet.fold_all())
         status, problem = self.routers[0].call("POST", "restore", objects)
         self.assertEqual(status, 422)
         self.assertIn("b has a configuration", problem["detail"])
         self.assertEqual(self.fleet.log.appends, 4)
 
-    def test_another_router_explains_and_drains(self) -> None:
+    def test_any_router_explains_requests_of_others_and_drains_them(self) -> None:
         self.routers[2].journal.record("req-1", Step.QUEUED, "behind 3")
         status, found = self.routers[0].call("GET", "requests/req-1")
         self.assertEqual((status, [item["router"] for item in found]), (200, ["c"]))
         self.assertEqual(found[0]["entries"][0]["detail"], "behind 3")
         self.assertEqual(self.routers[0].call("GET", "requests/req-2")[0], 404)
         self.assertEqual(self.routers[0].call("POST", "routers/b/drain")[0], 200)
-        self.assertEqual([operated.stops for operated in self.routers], [0, 1, 0])
-        late = DrainRequest(incarnation=2)  # meant for another start of the router
-        self.assertFalse(self.routers[0].router.links.request("b", late, 1.0).unwrap().accepted)
+        self.assertEqual([router.stops for router in self.routers], [0, 1, 0])
+        late = DrainRequest(incarnation=2)  # for another incarnation of the router
+        self.assertFalse(
+            self.routers[0].config_router.links.request("b", late, 1.0).unwrap().accepted
+        )
         self.assertEqual(self.routers[1].stops, 1)
 
 
