--- a/packages/loomyard-router/src/loomyard_router/metrics/__init__.py
+++ b/packages/loomyard-router/src/loomyard_router/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of requests and their exposition."""
+"""Metrics of requests, and their exposition for Prometheus."""
--- a/packages/loomyard-router/src/loomyard_router/metrics/exposition.py
+++ b/packages/loomyard-router/src/loomyard_router/metrics/exposition.py
@@ -1,4 +1,4 @@
-"""Metrics in the exposition format of Prometheus."""
+"""Metrics of a router in the exposition format of Prometheus."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 QUANTILES = (0.5, 0.95, 0.99)
 KEY_LABELS = ("account", "service", "phase")
-ANSWERED = "0"
+ANSWERED_CODE = "0"
 
 
 class MetersCollector(Collector):
-    """Turn the measurements into metric families."""
+    """Collects all metrics of a router as metric families when they are scraped."""
 
     def __init__(
         self,
@@ -48,34 +48,34 @@
         self._traffic = traffic
         self._in_flight = in_flight
         self._feeds = feeds
-        self._announced = announced or TargetMetrics()
-        self._places = places or SlotMetrics()
+        self._targets = announced or TargetMetrics()
+        self._slots = places or SlotMetrics()
         self._bodies = bodies or BodyMetrics()
         self._unread = unread or UnreadAnswerMetrics()
 
     def collect(self) -> Iterator[Metric]:
-        yield from self._phases()
-        yield self._codes()
-        yield from self._control()
+        yield from self._collect_phases()
+        yield self._collect_codes()
+        yield from self._collect_peer_traffic()
         yield GaugeMetricFamily(
             "loomyard_requests_in_flight", "requests in flight", value=self._in_flight()
         )
-        yield from self._feed_states()
-        yield from self._announcements()
-        yield from self._place_states()
-        yield from self._body_states()
+        yield from self._collect_feeds()
+        yield from self._collect_targets()
+        yield from self._collect_slots()
+        yield from self._collect_bodies()
 
-    def _phases(self) -> Iterator[Metric]:
+    def _collect_phases(self) -> Iterator[Metric]:
         quantiles = GaugeMetricFamily(
             "loomyard_request_seconds",
-            "quantiles of a phase of requests, since the start",
+            "quantiles of the duration of a phase of requests, since the start of the router",
             labels=(*KEY_LABELS, "quantile"),
         )
         counts = CounterMetricFamily(
-            "loomyard_request_phases", "measurements of a phase of requests", labels=KEY_LABELS
+            "loomyard_request_phases", "measured phases of requests", labels=KEY_LABELS
         )
         sums = CounterMetricFamily(
-            "loomyard_request_phase_seconds", "summed time of a phase", labels=KEY_LABELS
+            "loomyard_request_phase_seconds", "total duration of a phase", labels=KEY_LABELS
         )
         for account, service, histograms in self._meters.items():
             gevent.sleep(0)
@@ -88,163 +88,163 @@
                     quantiles.add_metric((*key, str(quantile)), value / UNITS_PER_SECOND)
         yield from (quantiles, counts, sums)
 
-    def _codes(self) -> Metric:
+    def _collect_codes(self) -> Metric:
         family = CounterMetricFamily(
-            "loomyard_requests", "requests by result code, 0 where answered", labels=("code",)
+            "loomyard_requests", "requests by result code, 0 if answered", labels=("code",)
         )
         for code, count in self._meters.codes.items():
-            family.add_metric((ANSWERED if code is None else str(int(code)),), count)
+            family.add_metric((ANSWERED_CODE if code is None else str(int(code)),), count)
         return family
 
-    def _control(self) -> Iterator[Metric]:
+    def _collect_peer_traffic(self) -> Iterator[Metric]:
         size = CounterMetricFamily(
-            "loomyard_control_bytes", "bytes between routers", labels=("direction",)
+            "loomyard_control_bytes", "bytes sent and received on peer links", labels=("direction",)
         )
         size.add_metric(("sent",), self._traffic.sent_bytes)
         size.add_metric(("received",), self._traffic.received_bytes)
         yield size
 
-    def _feed_states(self) -> Iterator[Metric]:
+    def _collect_feeds(self) -> Iterator[Metric]:
         read = GaugeMetricFamily(
-            "loomyard_feed_offset", "next offset of a feed here, -1 before", labels=("feed",)
+            "loomyard_feed_offset", "next offset to read of a feed, -1 if unread", labels=("feed",)
         )
         announced = GaugeMetricFamily(
             "loomyard_feed_announced_offset",
             "highest offset of a feed that another router announced",
             labels=("feed",),
         )
-        silent = GaugeMetricFamily(
+        unresponsive = GaugeMetricFamily(
             "loomyard_feed_silent_seconds",
             "seconds since the store last answered on a feed",
             labels=("feed",),
         )
         era = GaugeMetricFamily(
             "loomyard_feed_era",
-            "era of the store that a feed was read in; it rises when the store lost writes",
+            "era of the store in which a feed was read; it rises when the store has lost writes",
             labels=("feed",),
         )
         dropped = CounterMetricFamily(
             "loomyard_feed_answers_dropped",
-            "answers of the store and of routers that belong to an earlier era",
+            "answers of the store and of routers that were dropped as of an earlier era",
             labels=("feed",),
         )
         for state in self._feeds():
             read.add_metric((state.name,), state.position.offset)
             announced.add_metric((state.name,), state.announced.offset)
-            silent.add_metric((state.name,), state.silent_seconds)
+            unresponsive.add_metric((state.name,), state.silent_seconds)
             era.add_metric((state.name,), state.position.era)
             dropped.add_metric((state.name,), state.dropped)
-        yield from (read, announced, silent, era, dropped)
+        yield from (read, announced, unresponsive, era, dropped)
 
-    def _announcements(self) -> Iterator[Metric]:
-        figures = self._announced
-        yield _gauge(
+    def _collect_targets(self) -> Iterator[Metric]:
+        targets = self._targets
+        yield _make_gauge(
             "loomyard_data_centres_emptied",
-            "data centres that operators emptied",
-            figures.evacuated,
+            "data centres that operators evacuated",
+            targets.evacuated,
         )
-        yield _gauge("loomyard_targets_cold", "targets that are cold", figures.cold)
-        yield _gauge(
+        yield _make_gauge("loomyard_targets_cold", "targets that started lately", targets.cold)
+        yield _make_gauge(
             "loomyard_requests_suspected",
-            "requests under which targets ended lately",
-            figures.suspected,
+            "requests during which targets crashed lately",
+            targets.suspected,
         )
-        yield _gauge(
+        yield _make_gauge(
             "loomyard_requests_blocked",
-            "requests that are refused since targets end under them",
-            figures.blocked,
+            "poison requests that are refused, since targets crash during them",
+            targets.blocked,
         )
-        yield _gauge(
+        yield _make_gauge(
             "loomyard_targets_resting",
-            "targets that this router leaves alone for a while, as they asked",
-            figures.backing_off,
+            "targets from which this router backs off at their request",
+            targets.backing_off,
         )
-        yield _counter(
+        yield _make_counter(
             "loomyard_target_lives_replaced",
-            "targets that started again under their id",
-            figures.restarts,
+            "restarts of targets under the same id",
+            targets.restarts,
         )
-        yield _counter(
+        yield _make_counter(
             "loomyard_targets_said_leaving",
-            "targets that said in an answer that they leave",
-            figures.leaving_count,
+            "targets that announced in an answer that they leave",
+            targets.leaving_count,
         )
-        yield _counter(
+        yield _make_counter(
             "loomyard_target_rests_asked",
-            "answers by which targets asked for rest",
-            figures.backoff_requests,
+            "answers by which targets asked this router to back off",
+            targets.backoff_requests,
         )
         unreadable = CounterMetricFamily(
             "loomyard_entries_unreadable",
-            "records of a feed that could not be read",
+            "records of a feed that could not be decoded",
             labels=("feed", "reason"),
         )
-        for (feed, reason), count in figures.unreadable().items():
+        for (feed, reason), count in targets.unreadable().items():
             unreadable.add_metric((feed, reason.value), count)
         yield unreadable
 
-    def _place_states(self) -> Iterator[Metric]:
+    def _collect_slots(self) -> Iterator[Metric]:
         delay = GaugeMetricFamily(
             "loomyard_target_delay_seconds",
-            "time to a first event besides reading, as last heard of a target",
+            "fixed part of a target's time to first token, as last estimated",
             labels=("target",),
         )
-        pace = GaugeMetricFamily(
+        prefill_speed = GaugeMetricFamily(
             "loomyard_target_tokens_per_second",
-            "prompt tokens that a target reads a second, as last heard of it",
+            "prefill speed of a target in prompt tokens a second, as last estimated",
             labels=("target",),
         )
-        for life, heard in self._places.prefill_estimates().items():
-            delay.add_metric((life,), heard.delay)
-            pace.add_metric((life,), heard.tokens_per_second)
-        objections = CounterMetricFamily(
-            "loomyard_places_refused", "places that keepers did not give", labels=("objection",)
+        for incarnation, estimate in self._slots.prefill_estimates().items():
+            delay.add_metric((incarnation,), estimate.delay)
+            prefill_speed.add_metric((incarnation,), estimate.tokens_per_second)
+        refusals = CounterMetricFamily(
+            "loomyard_places_refused", "slots refused by their owners", labels=("objection",)
         )
-        for objection, count in self._places.refusals().items():
-            objections.add_metric((objection,), count)
-        silent = _gauge(
+        for reason, count in self._slots.refusals().items():
+            refusals.add_metric((reason,), count)
+        unresponsive = _make_gauge(
             "loomyard_keepers_silent",
-            "keepers of places that do not answer this router",
-            self._places.unresponsive_owners,
+            "slot owners that do not answer this router",
+            self._slots.unresponsive_owners,
         )
-        yield from (delay, pace, objections, silent)
+        yield from (delay, prefill_speed, refusals, unresponsive)
 
-    def _body_states(self) -> Iterator[Metric]:
-        yield _gauge(
+    def _collect_bodies(self) -> Iterator[Metric]:
+        yield _make_gauge(
             "loomyard_body_bytes_held", "bytes of request bodies held now", self._bodies.held_bytes
         )
-        yield _gauge(
+        yield _make_gauge(
             "loomyard_body_bytes_held_most",
-            "bytes of request bodies held at the most since the start",
+            "peak of the bytes of request bodies held since the start of the router",
             self._bodies.peak_bytes,
         )
-        yield _counter(
+        yield _make_counter(
             "loomyard_bodies_refused",
-            "requests refused since their bodies found no room",
+            "requests refused for lack of memory for their bodies",
             self._bodies.refused,
         )
-        yield _counter(
+        yield _make_counter(
             "loomyard_answers_unread",
-            "answers taken off their targets, as their callers did not read",
+            "answers buffered in memory because their callers read slowly",
             self._unread.buffered,
         )
-        yield _counter(
+        yield _make_counter(
             "loomyard_answers_given_up",
-            "unread answers broken off for want of room",
+            "buffered answers aborted for lack of memory",
             self._unread.aborted,
         )
 
 
-def _gauge(name: str, meaning: str, read: Callable[[], int]) -> Metric:
-    return GaugeMetricFamily(name, meaning, value=read())
+def _make_gauge(name: str, description: str, read: Callable[[], int]) -> Metric:
+    return GaugeMetricFamily(name, description, value=read())
 
 
-def _counter(name: str, meaning: str, read: Callable[[], int]) -> Metric:
-    return CounterMetricFamily(name, meaning, value=read())
+def _make_counter(name: str, description: str, read: Callable[[], int]) -> Metric:
+    return CounterMetricFamily(name, description, value=read())
 
 
 def expose(collector: Collector) -> bytes:
-    """Return the text of all metrics."""
+    """Return all metrics of a collector in the text format of Prometheus."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(collector)
     return generate_latest(registry)
--- a/packages/loomyard-router/src/loomyard_router/metrics/lazy_server.py
+++ b/packages/loomyard-router/src/loomyard_router/metrics/lazy_server.py
@@ -1,4 +1,4 @@
-"""The listener for metrics of a process that is rarely asked for them."""
+"""Metrics listener that loads the exposition with the first request."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 
 
 class LazyMetricsServer(OptionalListener):
-    """Load the exposition with the first request for it, since it takes some megabytes."""
+    """Serves metrics; imports the exposition on demand, since it takes some megabytes of memory."""
 
     def __init__(self, address: str, make_server: Callable[[], Any]) -> None:
-        self._make = make_server
-        self._app: Any = None
+        self._make_metrics_server = make_server
+        self._metrics_server: Any = None
         server = None
         if address:
             server = NoDelayServer(split_address(address), self._serve, log=None, spawn=Pool())
         super().__init__(server, stop_timeout=0)
 
     def _serve(self, environ: dict[str, Any], start_response: Callable) -> Iterable[bytes]:
-        if self._app is None:
-            self._app = self._make()
-        return self._app.serve(environ, start_response)
+        if self._metrics_server is None:
+            self._metrics_server = self._make_metrics_server()
+        return self._metrics_server.serve(environ, start_response)
 
 
 def make_lazy_metrics(
@@ -52,7 +52,7 @@
     bodies: BodyMetrics,
     unread: UnreadAnswerMetrics,
 ) -> LazyMetricsServer:
-    """Make the listener; without an address it does nothing."""
+    """Make the metrics listener; without an address it does not listen."""
 
     def make() -> Any:
         from loomyard_router.metrics.exposition import MetersCollector
--- a/packages/loomyard-router/src/loomyard_router/metrics/meters.py
+++ b/packages/loomyard-router/src/loomyard_router/metrics/meters.py
@@ -1,4 +1,4 @@
-"""What a router measures of requests, in bounded memory."""
+"""Metrics of requests, in bounded memory."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
     from loomyard.errors import ResultCode
     from loomyard_router.metrics.phase import Phase
 
-OTHER = "other"
+OTHER_ACCOUNT = "other"
 MAX_KEYS = 512
 IDLE_SECONDS = 600.0
 
 
 class Meters:
-    """Histograms for each client account and service, and counts of result codes.
+    """Histograms by client account and service, and counts of result codes.
 
-    Keys beyond the bound are measured together as ``other``; a key that was idle for long gives
-    its place to a new one and moves into ``other``.
+    At most ``max_keys`` pairs of account and service have histograms of their own; the other
+    accounts share those of ``other``. A new pair replaces the one that is unused for longest, if
+    that is at least ``IDLE_SECONDS``; its measurements are added to ``other``.
     """
 
     def __init__(self, clock: Clock, *, max_keys: int = MAX_KEYS) -> None:
@@ -31,22 +32,22 @@
         self._clock = clock
         self._max_keys = max_keys
         self._keys: OrderedDict[tuple[str, str], KeyHistograms] = OrderedDict()
-        self._others: dict[str, KeyHistograms] = {}
+        self._other_accounts: dict[str, KeyHistograms] = {}
 
     def record(self, account: str, service: str, phase: Phase, seconds: float) -> None:
-        """Take a measurement in."""
+        """Record the duration of a phase of a request."""
         self._find(account, service).record(phase, seconds)
 
     def count(self, code: ResultCode | None) -> None:
-        """Count a request by its result; ``None`` where it was answered."""
+        """Count a request by its result code, ``None`` if it was answered."""
         self.codes[code] += 1
 
     def items(self) -> Iterator[tuple[str, str, KeyHistograms]]:
-        """Return account, service and histograms."""
+        """Yield account, service and histograms."""
         for (account, service), histograms in list(self._keys.items()):
             yield account, service, histograms
-        for service, histograms in list(self._others.items()):
-            yield OTHER, service, histograms
+        for service, histograms in list(self._other_accounts.items()):
+            yield OTHER_ACCOUNT, service, histograms
 
     def _find(self, account: str, service: str) -> KeyHistograms:
         now = self._clock.now()
@@ -55,7 +56,7 @@
         if found is None:
             self._evict_idle(now)
             if len(self._keys) >= self._max_keys:
-                return self._others.setdefault(service, KeyHistograms(now))
+                return self._other_accounts.setdefault(service, KeyHistograms(now))
             found = self._keys[key] = KeyHistograms(now)
         found.used_at = now
         self._keys.move_to_end(key)
@@ -67,4 +68,4 @@
             if now - oldest.used_at < IDLE_SECONDS:
                 return
             del self._keys[account, service]
-            self._others.setdefault(service, KeyHistograms(now)).add(oldest)
+            self._other_accounts.setdefault(service, KeyHistograms(now)).add(oldest)
--- a/packages/loomyard-router/src/loomyard_router/metrics/phase.py
+++ b/packages/loomyard-router/src/loomyard_router/metrics/phase.py
@@ -1,4 +1,4 @@
-"""Parts of a request's time."""
+"""Measured phases of requests."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Phase(Enum):
-    """A part of a request's time that is measured for each client account and service."""
+    """A phase of a request whose duration is measured by client account and service."""
 
     QUEUE = "queue"
     FIRST_TOKEN = "first_token"
--- a/packages/loomyard-router/src/loomyard_router/metrics/server.py
+++ b/packages/loomyard-router/src/loomyard_router/metrics/server.py
@@ -1,4 +1,4 @@
-"""The listener for probes and metrics."""
+"""Listener for health checks, readiness checks and metrics."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class MetricsServer(OptionalListener):
-    """Serve /healthz, /readyz and /metrics; without an address nothing."""
+    """Serves /healthz, /readyz and /metrics; without an address it does not listen."""
 
     def __init__(self, address: str, ready: Callable[[], bool], collector: Collector) -> None:
         self._ready = ready
@@ -33,7 +33,7 @@
         super().__init__(self._make_server(address), stop_timeout=0)
 
     def serve(self, environ: dict[str, Any], start_response: Callable) -> Iterable[bytes]:
-        """Answer a request; a WSGI application."""
+        """Answer a request as a WSGI application."""
         status, kind, body = self._answer(environ["PATH_INFO"])
         start_response(f"{status.value} {status.phrase}", [("Content-Type", kind)])
         return [body]
--- a/packages/loomyard-router/src/loomyard_router/routes/__init__.py
+++ b/packages/loomyard-router/src/loomyard_router/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Routes by host and path: what an operator's configuration says of requests."""
+"""The routing configuration of callers' requests: routes, services, accounts and limits."""
--- a/packages/loomyard-router/src/loomyard_router/routes/account_terms.py
+++ b/packages/loomyard-router/src/loomyard_router/routes/account_terms.py
@@ -1,4 +1,4 @@
-"""What the configuration says of a client account."""
+"""Configuration of a client account."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @frozen(kw_only=True)
 class AccountTerms:
-    """A client account, its keys, and its priority where it has one of its own."""
+    """A client account with its keys; ``priority`` is ``None`` where it has none of its own."""
 
     name: str
     keys: tuple[str, ...] = field(default=(), repr=False)
--- a/packages/loomyard-router/src/loomyard_router/routes/kind.py
+++ b/packages/loomyard-router/src/loomyard_router/routes/kind.py
@@ -1,4 +1,4 @@
-"""What kind of requests a route takes."""
+"""Kinds of routes."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RouteKind(Enum):
-    """Whether a request may be repeated, and whether its answer is an event stream."""
+    """Whether requests of a route may be retried, and whether answers are event streams."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
--- a/packages/loomyard-router/src/loomyard_router/routes/route.py
+++ b/packages/loomyard-router/src/loomyard_router/routes/route.py
@@ -9,16 +9,16 @@
 from loomyard_router.routes.kind import RouteKind
 from loomyard_router.routes.service_share import ServiceShare
 
-POINT_BYTES = 8
+DIGEST_BYTES = 8
 
 
 @frozen(kw_only=True)
 class Route:
-    """Where requests go and what is asked of their answers.
+    """The services of requests by host and path prefix, with their time limits and objectives.
 
-    ``timeout`` is the longest a request is held, ``objective`` the time to its answer (a stream:
-    to its first event), ``gap_objective`` the longest pause between two events; all in seconds,
-    ``None`` where the operator sets none.
+    In seconds, ``None`` where the operator sets none: ``timeout`` is the longest time a request is
+    held, ``objective`` the time to its answer (of a stream: to the first event), ``gap_objective``
+    the longest time between two events.
     """
 
     name: str
@@ -36,7 +36,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may be executed more than once."""
         if self.kind is RouteKind.STREAM:
             return self.resumable
         return self.kind is RouteKind.IDEMPOTENT
@@ -46,13 +46,13 @@
         return self.kind is RouteKind.STREAM
 
     def choose_service(self, key: str) -> str:
-        """Return the service for a request, by weight and the same for the same key."""
+        """Return the service of a request, by weighted hash of ``key``."""
         shares = self.shares
         if len(shares) == 1:
             return shares[0].service
-        digest = blake2b(key.encode(), digest_size=POINT_BYTES).digest()
+        digest = blake2b(key.encode(), digest_size=DIGEST_BYTES).digest()
         total = sum(share.weight for share in shares)
-        point = int.from_bytes(digest, "big") / (1 << (8 * POINT_BYTES)) * total
+        point = int.from_bytes(digest, "big") / (1 << (8 * DIGEST_BYTES)) * total
         for share in shares:
             point -= share.weight
             if point < 0:
--- a/packages/loomyard-router/src/loomyard_router/routes/route_table.py
+++ b/packages/loomyard-router/src/loomyard_router/routes/route_table.py
@@ -1,4 +1,4 @@
-"""The routes, services and client accounts of one version of the configuration."""
+"""Routes, services and client accounts of one version of the configuration."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @frozen(kw_only=True, eq=False)
 class RouteTable:
-    """One whole version; a request is served by the version in force when it arrives."""
+    """An immutable version; a request is served by the version in force when it arrives."""
 
     version: int
     routes_by_host: dict[str, dict[str, Route]] = field(repr=False)
@@ -31,7 +31,7 @@
         return sum(len(routes) for routes in self.routes_by_host.values())
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a host with the longest prefix of a path; prefixes end in ``/``."""
+        """Return the route of a host with the longest prefix of ``path``; prefixes end in ``/``."""
         routes = self.routes_by_host.get(host)
         if routes is None:
             return None
@@ -56,16 +56,16 @@
     accounts: Iterable[AccountTerms] | None,
     limits: CallerLimits | None = None,
 ) -> RouteTable:
-    """Index a configuration; ``accounts`` is ``None`` where callers need no key."""
+    """Make an indexed table; ``accounts`` is ``None`` where callers need no key."""
     by_host: dict[str, dict[str, Route]] = {}
     for route in routes:
         by_host.setdefault(route.host, {})[route.prefix] = route
-    listed = list(accounts or ())
+    account_list = list(accounts or ())
     return RouteTable(
         version=version,
         routes_by_host=by_host,
         services={service.name: service for service in services},
-        accounts_by_key={key: account for account in listed for key in account.keys},
+        accounts_by_key={key: account for account in account_list for key in account.keys},
         limits=limits or CallerLimits(),
         keys_required=accounts is not None,
     )
--- a/packages/loomyard-router/src/loomyard_router/routes/service_share.py
+++ b/packages/loomyard-router/src/loomyard_router/routes/service_share.py
@@ -1,4 +1,4 @@
-"""One service of a route and its part of the requests."""
+"""A service of a route with its weight."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @frozen(kw_only=True)
 class ServiceShare:
-    """A service and its weight among the services of a route."""
+    """A service that gets requests of a route in proportion to its weight."""
 
     service: str
     weight: float = 1.0
--- a/packages/loomyard-router/src/loomyard_router/routes/service_terms.py
+++ b/packages/loomyard-router/src/loomyard_router/routes/service_terms.py
@@ -1,4 +1,4 @@
-"""What the configuration says of a service."""
+"""Configuration of a service and its engines."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @frozen(kw_only=True)
 class EngineTerms:
-    """The size of each engine of a service: requests at once, and tokens in memory."""
+    """Capacity of each engine of a service: concurrent requests, and tokens in its KV cache."""
 
     slots: int
     memory_tokens: int = 0
@@ -15,11 +15,11 @@
 
 @frozen(kw_only=True)
 class ServiceTerms:
-    """A service; ``engine`` is ``None`` for a plain one.
+    """A service; ``engine`` is ``None`` for a plain service.
 
-    A target of it is cold for ``cold_seconds`` after its start and bears ``cold_per_second``
-    requests meanwhile; 0 where nothing bounds them. Targets tell their health at ``health_path``,
-    empty where they do not.
+    For ``cold_seconds`` after its start a target is cold and gets at most ``cold_per_second``
+    requests a second, 0 for no limit. ``health_path`` is the path of the targets' health check,
+    empty where they have none.
     """
 
     name: str
--- a/packages/loomyard-router/src/loomyard_router/routes/table_feed.py
+++ b/packages/loomyard-router/src/loomyard_router/routes/table_feed.py
@@ -1,4 +1,4 @@
-"""Put in force what a feed of configurations says."""
+"""Consumer of the feed of configurations."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 @frozen
 class TableFeed:
-    """The taker of records; the configuration stands whole under one key."""
+    """Puts the newest readable configuration of a feed in force; ``key`` holds all of it."""
 
     holder: TableHolder
     key: str
     unreadable: UnreadableEntries
 
     def apply_listing(self, records: list[KeyedRecord], source: str) -> None:
-        self._offer(records, source)
+        self._update_holder(records, source)
 
     def apply_records(self, records: list[KeyedRecord], source: str = STORE) -> None:
-        self._offer(records, source)
+        self._update_holder(records, source)
 
     def on_store_lost(self) -> None:
         pass
@@ -37,8 +37,8 @@
     def on_store_recovered(self) -> None:
         pass
 
-    def _offer(self, records: list[KeyedRecord], source: str) -> None:
-        # The last one first: a whole version that can be read makes the ones before it needless.
+    def _update_holder(self, records: list[KeyedRecord], source: str) -> None:
+        # Newest first: a record is a complete version, so older ones need not be read after it.
         for record in reversed(records):
             if record.key != self.key or record.value is None:
                 continue
--- a/packages/loomyard-router/src/loomyard_router/routes/table_holder.py
+++ b/packages/loomyard-router/src/loomyard_router/routes/table_holder.py
@@ -1,4 +1,4 @@
-"""The configuration in force."""
+"""The route table in force."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 @frozen(kw_only=True)
 class TableDocument:
-    """A version of the configuration as it was published, for other routers."""
+    """The encoded configuration as it was published, to be sent to other routers."""
 
     version: int
     data: bytes
 
 
 class TableHolder:
-    """Hold the newest version heard from anyone; an older one never replaces it."""
+    """Holds the newest version received from any source; an older one never replaces it."""
 
     def __init__(self, decode: Decoder) -> None:
         self._decode = decode
@@ -48,17 +48,17 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force, -1 before the first."""
+        """Return the version in force, or -1 if there is none."""
         return -1 if self._table is None else self._table.version
 
     def subscribe(self, changed: Callable[[RouteTable], None]) -> None:
-        """Call back with each version that comes into force."""
+        """Register a callback for each version that comes into force."""
         self._listeners.append(changed)
 
     def offer(self, data: bytes, source: str) -> Result[bool, UnreadableEntry]:
-        """Put a published document in force where it is newer; tell whether it is now.
+        """Put a published document in force if it is newer; return whether it is now in force.
 
-        Of one that can't be read the version in force stays.
+        Error: the reason why the document can't be decoded; the version in force stays.
         """
         decoded = self._decode(data)
         if decoded.is_err():
@@ -74,7 +74,7 @@
                     in_force=self.version,
                 )
             return Ok(False)
-        before = self.version
+        previous = self.version
         self._table = table
         self._document = TableDocument(version=table.version, data=data)
         emit(
@@ -82,7 +82,7 @@
             Event.TABLE_ADOPTED,
             source=source,
             version=table.version,
-            before=before,
+            before=previous,
             routes=table.route_count,
             tokens_per_second=table.limits.tokens_per_second,
         )
--- a/tests/test_loomyard_router/test_metrics.py
+++ b/tests/test_loomyard_router/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the measurements: bounded, and exposed on a listener of their own."""
+"""Tests of the metrics of requests: limited in number, and exposed on their own listener."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
             for account, service, histograms in self.meters.items()
         }
 
-    def test_keys_beyond_the_bound_are_measured_together(self) -> None:
+    def test_accounts_beyond_the_limit_share_histograms(self) -> None:
         for account in ("a", "b", "c", "d", "a"):
             self.meters.record(account, "s", Phase.QUEUE, 0.01)
         self.assertEqual(self.counts(), {("b", "s"): 1, ("a", "s"): 2, ("other", "s"): 2})
--- a/tests/test_loomyard_router/test_place_metrics.py
+++ b/tests/test_loomyard_router/test_slot_metrics.py
@@ -1,4 +1,4 @@
-"""What metrics tell of places, of targets' paces and of bodies."""
+"""Tests of the exposed metrics of slots, prefill estimates and request bodies."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from loomyard_router.routed.body_metrics import BodyMetrics
 
 
-class PlaceMetricsTest(unittest.TestCase):
-    def test_places_and_bodies_are_told(self) -> None:
+class SlotMetricsTest(unittest.TestCase):
+    def test_metrics_of_slots_and_bodies_are_exposed(self) -> None:
         collector = MetersCollector(
             Meters(SystemClock()),
             TrafficCounters(),
