--- a/packages/loomyard-router/src/loomyard_router/claims/hosting.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/hosting.py
@@ -33,7 +33,7 @@
 
 # The second host follows the stream too, so that it can answer as soon as the first is gone.
 HOSTS_PER_PARTITION = 2
-# A router ranked below this stops hosting; in between it keeps its state, as a hysteresis.
+# Routers ranked after this stop hosting; one in between goes on if it hosts already (hysteresis).
 STOP_HOSTING_RANK = 3
 SWEEP_SECONDS = 5.0
 HOST_ANSWER_SECONDS = 1.5
@@ -44,8 +44,8 @@
 class ClaimHosting:
     """Sends requests to the hosts of partitions, and is a host itself.
 
-    Hosts are chosen by rendezvous hash over the live routers. They only append records: the order
-    of the log decides which claim wins, so routers may differ in their view of the hosts.
+    Hosts are chosen by rendezvous hash over the live routers. Routers may differ in their view of
+    the hosts: the choice only decides which router appends, log order decides which claim wins.
     """
 
     def __init__(
--- a/packages/loomyard-router/src/loomyard_router/claims/log_claims.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/log_claims.py
@@ -28,7 +28,7 @@
 CLAIM_ID_BYTES = 12
 MAX_RECORDED_BODY_BYTES = 16 * 1024
 MAX_RECORDED_TYPE_CHARS = 200
-# Hosts that take longer together count as unresponsive.
+# Longest wait for the answer of any host; after it the claim is refused as unavailable.
 LOOK_UP_SECONDS = 1.0
 BEGIN_SECONDS = 2.0
 RETRY_AFTER_SECONDS = 1.0
--- a/packages/loomyard-router/src/loomyard_router/claims/partition.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/partition.py
@@ -42,10 +42,10 @@
 SETTLE_LINGER_SECONDS = 0.1
 # A host whose append takes longer is not ready until the append is answered.
 SLOW_APPEND_SECONDS = 1.0
-SPACING_JITTER = 0.2
+SPACING_JITTER = 0.2  # largest random increase, as a fraction of the spacing
 RESTART_SECONDS = 0.5
 RECORDS_PER_APPEND = 256
-MAX_KEYS = 200_000
+MAX_KEYS = 200_000  # a partition with this many keys accepts no claims on new ones
 
 Record = Begun | Finished | Abandoned
 
@@ -55,7 +55,7 @@
     """A record to append, and the result for the callers that wait until it is read back."""
 
     record: Record
-    seen: AsyncResult = field(factory=AsyncResult)
+    read_back: AsyncResult = field(factory=AsyncResult)
     waiters: int = 0
 
 
@@ -116,7 +116,7 @@
     def begin(self, begun: Begun, deadline: float) -> Verdict | None:
         """Append a record and return the verdict, or ``None`` if it is unknown by the deadline."""
         entry = self._submit(begun)
-        verdict = wait_result(entry.seen, deadline, self._clock)
+        verdict = wait_result(entry.read_back, deadline, self._clock)
         entry.waiters -= 1
         return verdict if isinstance(verdict, Verdict) else None
 
@@ -124,9 +124,11 @@
         """Append records; return whether all were read back by the deadline."""
         entries = [self._submit(record) for record in records]
         for entry in entries:
-            wait_result(entry.seen, deadline, self._clock)
+            wait_result(entry.read_back, deadline, self._clock)
             entry.waiters -= 1
-        return all(entry.seen.ready() and entry.seen.value is not None for entry in entries)
+        return all(
+            entry.read_back.ready() and entry.read_back.value is not None for entry in entries
+        )
 
     def _submit(self, record: Record) -> _PendingRecord:
         identity = (type(record), record.claim_id)
@@ -143,7 +145,7 @@
     def _resolve(self, record: Record, value: object) -> None:
         entry = self._entries_by_claim.pop((type(record), record.claim_id), None)
         if entry is not None:
-            entry.seen.set(value)
+            entry.read_back.set(value)
 
     def _run_forever(self, task: Callable[[], None]) -> None:
         """Restart a task after an unexpected error; claims that wait meanwhile time out."""
@@ -238,12 +240,12 @@
         for entry in self._pending:
             if not entry.waiters:
                 self._entries_by_claim.pop((type(entry.record), entry.record.claim_id), None)
-        wanted = [e for e in self._pending if e.waiters and not e.seen.ready()]
-        self._pending = wanted[RECORDS_PER_APPEND:]
+        unresolved = [e for e in self._pending if e.waiters and not e.read_back.ready()]
+        self._pending = unresolved[RECORDS_PER_APPEND:]
         if not self._pending:
             self._has_pending.clear()
             self._has_begun.clear()
-        return wanted[:RECORDS_PER_APPEND]
+        return unresolved[:RECORDS_PER_APPEND]
 
     def _fail_begins(self, entries: list[_PendingRecord], *, certain: bool) -> None:
         for entry in entries:
@@ -259,14 +261,16 @@
 
     def _requeue(self, entries: list[_PendingRecord]) -> None:
         """Queue records that were not read back again; a duplicate in the log changes nothing."""
-        self._pending += [entry for entry in entries if not entry.seen.ready()]
+        self._pending += [entry for entry in entries if not entry.read_back.ready()]
         if self._pending:
             self._has_pending.set()
 
     def _await_spacing(self, started: float) -> None:
         """Wait before the next append, longer where the log service is slow."""
-        took = self._clock.now() - started
-        spacing = max(APPEND_SPACING_SECONDS, took) * (1 + random.uniform(0, SPACING_JITTER))
+        append_seconds = self._clock.now() - started
+        spacing = max(APPEND_SPACING_SECONDS, append_seconds) * (
+            1 + random.uniform(0, SPACING_JITTER)
+        )
         left = started + spacing - self._clock.now()
         if left > 0:
             self._clock.sleep(left)
--- a/packages/loomyard-router/src/loomyard_router/configuration/replica.py
+++ b/packages/loomyard-router/src/loomyard_router/configuration/replica.py
@@ -162,8 +162,8 @@
             emit(logger, Event.CONFIGURATION_ADOPTED, version=state.version)
             for listener in self._listeners:
                 self._notify(listener, routing)
-        moved, self._updated = self._updated, GeventEvent()
-        moved.set()
+        updated, self._updated = self._updated, GeventEvent()
+        updated.set()
 
     def _notify(self, listener: Callable[[Routing], None], routing: Routing) -> None:
         try:
--- a/packages/loomyard-router/src/loomyard_router/metrics/exposition.py
+++ b/packages/loomyard-router/src/loomyard_router/metrics/exposition.py
@@ -125,7 +125,7 @@
         )
         dropped = CounterMetricFamily(
             "loomyard_feed_answers_dropped",
-            "answers of the store and of routers that were dropped as of an earlier era",
+            "answers of the store and of routers dropped because they belong to an earlier era",
             labels=("feed",),
         )
         for state in self._feeds():
@@ -143,7 +143,9 @@
             "data centres that operators evacuated",
             targets.evacuated,
         )
-        yield _make_gauge("loomyard_targets_cold", "targets that started lately", targets.cold)
+        yield _make_gauge(
+            "loomyard_targets_cold", "targets in the cold period after a start", targets.cold
+        )
         yield _make_gauge(
             "loomyard_requests_suspected",
             "requests during which targets crashed lately",
--- a/packages/loomyard-router/src/loomyard_router/operators/app.py
+++ b/packages/loomyard-router/src/loomyard_router/operators/app.py
@@ -136,9 +136,9 @@
         return self._publisher.publish(request).map(_with_verdict_status)
 
     def _report_fleet(self) -> FleetReport:
-        routers, silent = self._fleet_status.collect()
+        routers, unresponsive = self._fleet_status.collect()
         return FleetReport(
-            answered_by=self._fleet_status.own().name, routers=routers, silent=silent
+            answered_by=self._fleet_status.own().name, routers=routers, silent=unresponsive
         )
 
     def _report_targets(self) -> TargetReport:
