--- a/packages/loomyard-router/src/loomyard_router/announced/target_notices.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_notices.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from loomyard.events import Event, emit
-from loomyard_router.targets.resting_targets import RestingTargets
+from loomyard_router.targets.target_backoffs import TargetBackoffs
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -34,7 +34,7 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._leaving: OrderedDict[TargetIncarnation, None] = OrderedDict()
-        self._resting = RestingTargets(clock)
+        self._resting = TargetBackoffs(clock)
         self._told: list[Callable[[TargetIncarnation], None]] = []
         self.leaving_count = 0
         self.backoff_requests = 0
@@ -79,7 +79,7 @@
     def _note_rest(self, target: AnnouncedTarget, seconds: float) -> bool:
         self._resting.expire()
         self.backoff_requests += 1
-        if not self._resting.rest(target.incarnation, self._clock.now() + seconds):
+        if not self._resting.record(target.incarnation, self._clock.now() + seconds):
             return False
         emit(
             logger,
--- a/packages/loomyard-router/src/loomyard_router/targets/__init__.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/__init__.py
@@ -1,1 +1,1 @@
-"""The targets and how they are called."""
+"""The target directory, target health and load, and HTTP calls to targets."""
--- a/packages/loomyard-router/src/loomyard_router/targets/choosing.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/choosing.py
@@ -1,4 +1,4 @@
-"""Choose a target by prompt-prefix locality, bounded by load."""
+"""Target choice by prompt-prefix locality, bounded by load."""
 
 from __future__ import annotations
 
@@ -12,50 +12,51 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# A target is taken for its cache only while its part of free slots is at most this far below the
-# freest candidate's, so that locality costs at most this much imbalance.
+# A target is preferred for its cache only while its fraction of free slots is at most this far
+# below the freest candidate's, which bounds the load imbalance that locality causes.
 LOCALITY_MARGIN = 0.25
 
 
 @frozen(kw_only=True)
 class Candidate:
-    """A target that may get the request; ``free`` of its ``slots`` are free."""
+    """A target that may get the request, with its free and total slots."""
 
     target: Target
     free: int
     slots: int
 
     @property
-    def free_part(self) -> float:
+    def free_fraction(self) -> float:
         return self.free / self.slots if self.slots > 0 else 0.0
 
 
-class PrefixKnowledge(Protocol):
-    """What choosing needs of the target directory."""
+class PrefixLookup(Protocol):
+    """The part of the target directory that the choice uses."""
 
     def holds_prefix(self, name: str, prefix: str) -> bool:
-        """Tell whether a target probably caches a prompt prefix."""
+        """Return whether a target probably caches a prompt prefix."""
 
 
 def choose(
     candidates: Iterable[Candidate],
     prefix: str,
-    directory: PrefixKnowledge,
+    directory: PrefixLookup,
     *,
     margin: float = LOCALITY_MARGIN,
 ) -> Target | None:
     """Return the target for a request, ``None`` where no candidate has a free slot.
 
-    Within the margin of the freest: a target that holds the prefix, then the first by rendezvous
-    hash, so that routers that know nothing still send equal prefixes to equal targets.
+    Without a prefix, the one with the largest fraction of free slots. Otherwise, among those within
+    ``margin`` of it, a target that caches the prefix; ties go by rendezvous hash of the prefix, so
+    that routers without cache information still send equal prefixes to the same target.
     """
     free = [candidate for candidate in candidates if candidate.free > 0]
     if not free:
         return None
     if not prefix:
-        return max(free, key=lambda c: c.free_part).target
-    least = max(c.free_part for c in free) - margin
-    near = [c for c in free if c.free_part >= least]
+        return max(free, key=lambda c: c.free_fraction).target
+    min_free = max(c.free_fraction for c in free) - margin
+    near = [c for c in free if c.free_fraction >= min_free]
     holders = [c for c in near if directory.holds_prefix(c.target.metadata.name, prefix)]
     by_name = {c.target.metadata.name: c.target for c in holders or near}
     return by_name[rendezvous.choose(prefix, by_name)]
--- a/packages/loomyard-router/src/loomyard_router/targets/directory.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/directory.py
@@ -1,4 +1,4 @@
-"""The protocol of what is known of targets, and the plain reading of the configuration."""
+"""The target directory: its protocol, and an implementation by configuration alone."""
 
 from __future__ import annotations
 
@@ -15,47 +15,47 @@
 
 
 class TargetDirectory(Protocol):
-    """Know which targets may get work, how much, and what their caches hold."""
+    """Which targets may get requests, how many at once, and which prompt prefixes they cache."""
 
     def may_send(self, name: str, service: str = "") -> bool:
-        """Tell whether a target may get new work now, of a service that it has loaded."""
+        """Return whether a target may get new requests now; of a service only if it is loaded."""
 
     def slots(self, target: Target) -> int:
-        """Return how many requests of the whole fleet keep the target just full."""
+        """Return how many concurrent requests of the whole fleet the target can run."""
 
     def holds_prefix(self, name: str, prefix: str) -> bool:
-        """Tell whether a target probably caches a prompt prefix."""
+        """Return whether a target probably caches a prompt prefix."""
 
     def record_prefix(self, name: str, prefix: str) -> None:
-        """Take in that a request with a prefix was sent to a target."""
+        """Record that a request with a prompt prefix was sent to a target."""
 
     def report_leaving(self, name: str) -> None:
-        """Take in that a target says, or a peer heard, that it is leaving."""
+        """Record that a target announced that it is leaving."""
 
     def report_backoff(self, name: str, until: float) -> None:
-        """Take in that a target wants nothing from this router until then."""
+        """Send a target nothing until a clock time (s), as it asked in a refusal."""
 
     def report_attempt(self, name: str, *, answered: bool) -> None:
-        """Take in whether a target answered an attempt."""
+        """Record whether a target answered an attempt; failures in a row eject it."""
 
     def statuses(self) -> list[TargetStatus]:
-        """Return how each target stands here, by name."""
+        """Return the state of each target at this router, sorted by name."""
 
     def reconfigure(self, routing: Routing) -> None:
-        """Take over a configuration."""
+        """Apply a configuration."""
 
     def subscribe(self, changed: Callable[[], None]) -> None:
-        """Call back after each change of what may be sent where."""
+        """Call back after each change of availability or slots."""
 
     def start(self) -> None:
-        """Start the tasks."""
+        """Start the background tasks."""
 
     def stop(self) -> None:
-        """End the tasks."""
+        """Stop the background tasks."""
 
 
 class ConfiguredTargets:
-    """What the configuration alone says of targets."""
+    """A target directory that uses the configuration alone."""
 
     def __init__(self) -> None:
         self._targets: dict[str, Target] = {}
@@ -104,5 +104,5 @@
 
 
 def make_configured_targets() -> ConfiguredTargets:
-    """Make a directory that reads the configuration only."""
+    """Create a directory that uses the configuration alone."""
     return ConfiguredTargets()
--- a/packages/loomyard-router/src/loomyard_router/targets/gossip.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/gossip.py
@@ -1,4 +1,4 @@
-"""What the targets need of the gossip between routers."""
+"""The protocol of the gossip between routers, as the target directory uses it."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Gossip(Protocol):
-    """Spread small numbers to every router; ``Membership`` does."""
+    """Disseminates small integers to every router; implemented by ``Membership``."""
 
     def announce(self, topic: str, key: str, value: int, *, until: float) -> None:
-        """Spread a small item to all routers; the highest value of a key wins."""
+        """Disseminate an item until a clock time (s); the highest value of a key wins."""
 
-    def subscribe_topic(self, topic: str, heard: Callable[[str, int], None]) -> None:
-        """Call back with key and value of each item learned from others."""
+    def subscribe_topic(self, topic: str, received: Callable[[str, int], None]) -> None:
+        """Call back with key and value of each item received from other routers."""
--- a/packages/loomyard-router/src/loomyard_router/targets/health.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/health.py
@@ -1,4 +1,4 @@
-"""Ejection of targets whose attempts fail one after another."""
+"""Ejection of targets after consecutive failed attempts."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
     from loomyard.clock import Clock
 
 FAILURES_TO_EJECT = 3
+# Seconds until an ejected target is probed.
 FIRST_BACKOFF = 1.0
 MAX_BACKOFF = 30.0
-MAX_EJECTED_PART = 0.5
+MAX_EJECTED_FRACTION = 0.5
 
 
 @define(eq=False)
@@ -28,15 +29,18 @@
 
 
 class TargetHealth:
-    """Count failed attempts of this router; its path may fail where others' do not."""
+    """Outlier ejection by this router's own attempts.
+
+    Failures are not shared: this router's network path may fail where those of others do not.
+    """
 
     def __init__(self, clock: Clock, *, seed: int | None = None) -> None:
         self._clock = clock
         self._random = random.Random(seed)
         self._states: dict[str, _State] = {}
 
-    def failed(self, name: str) -> bool:
-        """Take in a failed attempt; tell whether the target is newly to be ejected."""
+    def record_failure(self, name: str) -> bool:
+        """Record a failed attempt; return whether it ejects the target."""
         state = self._states.setdefault(name, _State())
         state.failures += 1
         if state.ejected_at is not None:
@@ -46,34 +50,34 @@
         state.backoff = min(2 * state.backoff, MAX_BACKOFF) if state.half_open else FIRST_BACKOFF
         state.half_open = False
         state.ejected_at = self._clock.now()
-        self._postpone(state)
+        self._schedule_probe(state)
         return True
 
-    def answered(self, name: str) -> bool:
-        """Take in an answered attempt; tell whether that ends an ejection."""
+    def record_answer(self, name: str) -> bool:
+        """Record an answered attempt; return whether it ends an ejection or half-open state."""
         state = self._states.pop(name, None)
         return state is not None and (state.ejected_at is not None or state.half_open)
 
-    def probed(self, name: str, *, answered: bool) -> bool:
-        """Take in a probe of an ejected target; an answer half-opens it."""
+    def record_probe(self, name: str, *, answered: bool) -> bool:
+        """Record a probe of an ejected target; return whether the target is now half-open."""
         state = self._states.get(name)
         if state is None or state.ejected_at is None:
             return False
         if not answered:
             state.backoff = min(2 * state.backoff, MAX_BACKOFF)
-            self._postpone(state)
+            self._schedule_probe(state)
             return False
         state.ejected_at = None
         state.half_open = True
         return True
 
     def is_half_open(self, name: str) -> bool:
-        """Tell whether a target gets a first attempt after an ejection."""
+        """Return whether a target is on trial after an ejection, with one attempt at a time."""
         state = self._states.get(name)
         return state is not None and state.half_open
 
     def probes_due(self) -> list[str]:
-        """Return the targets to be probed now."""
+        """Return the ejected targets whose next probe is due."""
         now = self._clock.now()
         return [
             n for n, s in self._states.items() if s.ejected_at is not None and s.probe_at <= now
@@ -82,28 +86,28 @@
     def ejected(self, pools: Mapping[str, Iterable[str]]) -> set[str]:
         """Return the targets to leave out, given the usable targets of each service.
 
-        Of each service at most a part is left out and one target stays, the longest ejected
-        first: where all fail the fault is seldom the targets'.
+        At most ``MAX_EJECTED_FRACTION`` of a service is left out, longest ejected first, and never
+        its only target: where all fail, the fault is rarely the targets'.
         """
-        out = {n: s.ejected_at for n, s in self._states.items() if s.ejected_at is not None}
-        room = {}
+        since = {n: s.ejected_at for n, s in self._states.items() if s.ejected_at is not None}
+        allowed = {}
         members = {service: set(names) for service, names in pools.items()}
         for service, names in members.items():
-            room[service] = int(len(names) * MAX_EJECTED_PART) if len(names) > 1 else 0
+            allowed[service] = int(len(names) * MAX_EJECTED_FRACTION) if len(names) > 1 else 0
         chosen = set()
-        for name in sorted(out, key=lambda n: (out[n], n)):
-            mine = [service for service, names in members.items() if name in names]
-            if all(room[service] > 0 for service in mine):
+        for name in sorted(since, key=lambda n: (since[n], n)):
+            services = [service for service, names in members.items() if name in names]
+            if all(allowed[service] > 0 for service in services):
                 chosen.add(name)
-                for service in mine:
-                    room[service] -= 1
+                for service in services:
+                    allowed[service] -= 1
         return chosen
 
     def retain(self, names: Iterable[str]) -> None:
-        """Forget all other targets."""
+        """Drop the state of all other targets."""
         for name in self._states.keys() - set(names):
             del self._states[name]
 
-    def _postpone(self, state: _State) -> None:
-        # Full jitter over the upper half keeps routers from probing in step.
+    def _schedule_probe(self, state: _State) -> None:
+        # Jitter over the upper half of the back-off keeps routers from probing in step.
         state.probe_at = self._clock.now() + state.backoff * self._random.uniform(0.5, 1.0)
--- a/packages/loomyard-router/src/loomyard_router/targets/http_answer.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/http_answer.py
@@ -1,4 +1,4 @@
-"""An answer of a target over HTTP."""
+"""Answers of targets over HTTP, read in blocks."""
 
 from __future__ import annotations
 
@@ -15,13 +15,14 @@
 
 ATTEMPT_HEADER = "Loomyard-Attempt"
 BLOCK_SIZE = 65536
+# Event mask of libev for a readable socket.
 READABLE = 1
 
 
 class BlockResponse(HTTPSocketPoolResponse):
-    """A response whose body is read in blocks, as much as is there.
+    """A response whose body is read in blocks of whatever has arrived.
 
-    A stall is noticed by one slow timer for each answer in place of a timeout for each read.
+    One timer per answer detects stalls, which is cheaper than a timeout for each read.
     """
 
     def __init__(self, sock: socket, pool: object, **options: Any) -> None:
@@ -29,29 +30,32 @@
         self._seen_reads = 0
         self._stall: Any = None
         self._readable: Any = None
-        # Over TLS, bytes may wait in the library where the kernel has none.
-        self._decrypted: Any = None
+        # Over TLS, decrypted bytes may wait in the library while the socket is not readable.
+        self._pending_bytes: Any = None
         super().__init__(sock, pool, **options)  # type: ignore[arg-type]
 
-    def watch(self, stall_seconds: float) -> None:
-        """Prepare to read the body; a wait of up to twice the given time ends it."""
+    def start_stall_timer(self, stall_seconds: float) -> None:
+        """Prepare to read the body; abort after one to two times ``stall_seconds`` without data."""
         if self._sock is None:
             return
         self._sock.settimeout(None)
-        self._decrypted = getattr(self._sock, "pending", None)
+        self._pending_bytes = getattr(self._sock, "pending", None)
         loop = get_hub().loop
         self._readable = loop.io(self._sock.fileno(), READABLE)
         self._stall = loop.timer(stall_seconds, stall_seconds)
         self._stall.start(self._check_stall)
 
     def read_block(self) -> bytes:
-        """Return what has arrived, waiting for the first byte; empty at the end of the body."""
+        """Return what has arrived, waiting for the first byte; empty at the end of the body.
+
+        Raises ``HTTPConnectionClosed`` after an abort.
+        """
         buffer = self._body_buffer
         while not buffer and not self.message_complete:
             sock = self._sock
             if sock is None:
                 raise HTTPConnectionClosed("connection closed")
-            if not (self._decrypted and self._decrypted()):
+            if not (self._pending_bytes and self._pending_bytes()):
                 get_hub().wait(self._readable)
             self._reads += 1
             self.feed(sock.recv(BLOCK_SIZE))
@@ -60,12 +64,12 @@
         return block
 
     def release(self) -> None:
-        self._unwatch()
+        self._stop_watchers()
         super().release()
 
     def abort(self) -> None:
-        """Close the connection unless the whole answer was read; a waiting task gets an error."""
-        self._unwatch()
+        """Close the connection unless the answer was read completely; a waiting read fails."""
+        self._stop_watchers()
         pool, sock = self._pool, self._sock
         self._sock = self._pool = None
         if pool is not None and sock is not None:
@@ -76,7 +80,7 @@
             self.abort()
         self._seen_reads = self._reads
 
-    def _unwatch(self) -> None:
+    def _stop_watchers(self) -> None:
         stall, self._stall = self._stall, None
         if stall is not None:
             stall.stop()
@@ -87,7 +91,7 @@
 
 
 class HttpAnswer:
-    """An answer over HTTP."""
+    """The ``TargetAnswer`` of an HTTP target."""
 
     def __init__(self, response: BlockResponse) -> None:
         self._response = response
@@ -109,7 +113,9 @@
             return Ok(self._response.read_block())
         except Exception as error:
             self.close()
-            detail = f"the answer broke off: {str(error) or type(error).__name__}"
+            detail = (
+                f"connection lost while reading the answer: {str(error) or type(error).__name__}"
+            )
             fault = Fault(
                 code=ResultCode.ANSWER_INCOMPLETE, detail=detail, executed=Executed.UNKNOWN
             )
@@ -120,5 +126,5 @@
 
 
 def read_response(sock: socket, pool: object, method: str) -> BlockResponse:
-    """Read status and headers; the connection goes back to the pool after the body."""
+    """Read status and headers; the connection returns to the pool after the body is read."""
     return BlockResponse(sock, pool, block_size=BLOCK_SIZE, method=method)
--- a/packages/loomyard-router/src/loomyard_router/targets/http_connections.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/http_connections.py
@@ -1,4 +1,4 @@
-"""Connections to targets."""
+"""Connection pools of HTTP targets."""
 
 from __future__ import annotations
 
@@ -19,58 +19,60 @@
 DEFAULT_PORTS = {"http": 80, "https": 443}
 
 
-class PromptConnections:
-    """Mix in connections that send each write at once."""
+class NoDelayConnections:
+    """Mixin that disables Nagle's algorithm on new connections."""
 
     def after_connect(self, sock: socket) -> None:
         sock.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
 
 
-class KeptPool(PromptConnections, ConnectionPool):
-    """Plain connections that are kept for the next request."""
+class KeepAlivePool(NoDelayConnections, ConnectionPool):
+    """Plain connections that are reused for later requests."""
 
 
-class KeptSslPool(PromptConnections, SSLConnectionPool):
-    """TLS connections that are kept for the next request."""
+class KeepAliveSslPool(NoDelayConnections, SSLConnectionPool):
+    """TLS connections that are reused for later requests."""
 
 
-class FreshConnections(PromptConnections):
-    """Mix in connections that carry one request only."""
+class SingleUseConnections(NoDelayConnections):
+    """Mixin that closes each connection after one request."""
 
     def return_socket(self, sock: socket) -> None:
         self.release_socket(sock)  # type: ignore[attr-defined]
 
 
-class FreshPool(FreshConnections, ConnectionPool):
-    """Plain connections that carry one request only."""
+class SingleUsePool(SingleUseConnections, ConnectionPool):
+    """Plain connections for one request each."""
 
 
-class FreshSslPool(FreshConnections, SSLConnectionPool):
-    """TLS connections that carry one request only."""
+class SingleUseSslPool(SingleUseConnections, SSLConnectionPool):
+    """TLS connections for one request each."""
 
 
-class Connections:
-    """Kept connections for repeatable calls, fresh ones for the others.
+class ConnectionPools:
+    """Pools by address: reused connections for idempotent calls, new ones for the others.
 
-    A kept connection may be closed by the target while a request is written to it, and then
-    nobody can tell whether it ran; a call that may run only once does not take that risk.
+    The target may close a reused connection while a request is written to it, which leaves unknown
+    whether the request ran. Non-idempotent calls avoid that risk.
     """
 
     def __init__(self) -> None:
         self._pools: dict[tuple[str, str, int, bool], ConnectionPool] = {}
 
-    def pool(self, url: str, *, kept: bool) -> ConnectionPool:
-        """Return the pool for a target."""
+    def pool(self, url: str, *, reuse: bool) -> ConnectionPool:
+        """Return the pool for the target at a URL."""
         parts = urlsplit(url)
         port = parts.port or DEFAULT_PORTS[parts.scheme]
-        key = (parts.scheme, parts.hostname or "", port, kept)
+        key = (parts.scheme, parts.hostname or "", port, reuse)
         if key not in self._pools:
             self._pools[key] = _make_pool(*key)
         return self._pools[key]
 
 
-def _make_pool(scheme: str, host: str, port: int, kept: bool) -> ConnectionPool:
-    plain, secure = (KeptPool, KeptSslPool) if kept else (FreshPool, FreshSslPool)
+def _make_pool(scheme: str, host: str, port: int, reuse: bool) -> ConnectionPool:
+    plain, secure = (
+        (KeepAlivePool, KeepAliveSslPool) if reuse else (SingleUsePool, SingleUseSslPool)
+    )
     kind = secure if scheme == "https" else plain
     pool = kind(
         host,
--- a/packages/loomyard-router/src/loomyard_router/targets/http_engine.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/http_engine.py
@@ -1,12 +1,12 @@
-"""Targets that speak the OpenAI HTTP interface, or plain HTTP.
+"""Adapter for targets with the OpenAI HTTP interface or plain HTTP.
 
-The contract of a target beyond its interface:
+Beyond that interface, a target must
 
-- It sends the header ``Loomyard-Attempt`` of a request back with the answer.
-- A refusal that carries ``Loomyard-Not-Run: 1`` states that nothing of the request ran;
-  ``Loomyard-Leaving: 1`` states the same and that the target takes no new work.
-- An engine numbers the events of a stream with ``id:`` lines from 0, keeps the last streams for
-  ``GET /streams/ATTEMPT?after=NUMBER``, and ends a cancelled stream without ``[DONE]``.
+- return the ``Loomyard-Attempt`` header of a request with the answer;
+- set ``Loomyard-Not-Run: 1`` on a refusal only if nothing of the request ran, and
+  ``Loomyard-Leaving: 1`` if, besides, it takes no new requests;
+- as an engine, number the events of a stream with ``id:`` lines from 0, retain the last streams for
+  ``GET /streams/ATTEMPT?after=NUMBER``, and end a cancelled stream without ``[DONE]``.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from loomyard.errors import Executed, Fault, ResultCode
 from loomyard.outside.engine import CacheEvent, EngineOrder, LoadReport, TargetCall
 from loomyard_router.targets.http_answer import ATTEMPT_HEADER, HttpAnswer, read_response
-from loomyard_router.targets.http_connections import Connections
+from loomyard_router.targets.http_connections import ConnectionPools
 
 if TYPE_CHECKING:
     from geventhttpclient.connectionpool import ConnectionPool
@@ -40,32 +40,32 @@
 
 
 class HttpEngine:
-    """Call targets over HTTP; no call is ever sent twice by itself."""
+    """Calls targets over HTTP; never retries a call by itself."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._connections = Connections()
+        self._connections = ConnectionPools()
 
     def open(self, call: TargetCall) -> Result[TargetAnswer, Fault]:
-        return self._exchange(call, kept=call.idempotent)
+        return self._exchange(call, reuse=call.idempotent)
 
     def resume(self, call: TargetCall, after: int) -> Result[TargetAnswer, Fault]:
         path = f"/streams/{call.attempt_id}?after={after}"
-        asked = TargetCall(
+        resuming = TargetCall(
             attempt_id=call.attempt_id,
             url=call.url,
             method="GET",
             path=path,
             deadline=call.deadline,
         )
-        opened = self._exchange(asked, kept=True)
+        opened = self._exchange(resuming, reuse=True)
         if opened.is_err():
             return Err(opened.unwrap_err())
         answer = opened.unwrap()
         if answer.status == HTTP_OK:
             return Ok(answer)
         answer.close()
-        detail = f"the engine does not keep the stream: status {answer.status}"
+        detail = f"the engine no longer has the stream: status {answer.status}"
         return Err(Fault(code=ResultCode.STREAM_GONE, detail=detail, executed=Executed.UNKNOWN))
 
     def cancel(self, url: str, attempt_id: str) -> Result[None, Fault]:
@@ -82,24 +82,24 @@
         path = f"/orders/{order.action}/{order.subject}?fencing={order.fencing}"
         return self._control(url, "POST", path).map(lambda _: None)
 
-    def _exchange(self, call: TargetCall, *, kept: bool) -> Result[HttpAnswer, Fault]:
+    def _exchange(self, call: TargetCall, *, reuse: bool) -> Result[HttpAnswer, Fault]:
         match _render(call):
             case Err(fault):
                 return Err(fault)
             case Ok(data):
                 pass
-        pool = self._connections.pool(call.url, kept=kept)
+        pool = self._connections.pool(call.url, reuse=reuse)
         seconds = max(MIN_TIMEOUT, call.deadline - self._clock.now())
         try:
             sock = pool.get_socket()
         except Exception as error:
-            return Err(_unreachable(error))
+            return Err(_unreachable_fault(error))
         return _send(pool, sock, data, call.method, seconds)
 
     def _control(self, url: str, method: str, path: str) -> Result[bytes, Fault]:
         deadline = self._clock.now() + CONTROL_TIMEOUT
         call = TargetCall(attempt_id="", url=url, method=method, path=path, deadline=deadline)
-        opened = self._exchange(call, kept=True)
+        opened = self._exchange(call, reuse=True)
         if opened.is_err():
             return Err(opened.unwrap_err())
         answer = opened.unwrap()
@@ -117,7 +117,7 @@
 
 
 def make_http_engine(clock: Clock) -> HttpEngine:
-    """Make the adapter for HTTP targets."""
+    """Create the adapter for HTTP targets."""
     return HttpEngine(clock)
 
 
@@ -148,12 +148,12 @@
         pool.release_socket(sock)
         if not isinstance(error, Exception):
             raise
-        return Err(_lost(error))
+        return Err(_lost_fault(error))
     try:
         response = read_response(sock, pool, method)
     except Exception as error:
-        return Err(_lost(error))
-    response.watch(min(STALL_TIMEOUT, seconds))
+        return Err(_lost_fault(error))
+    response.start_stall_timer(min(STALL_TIMEOUT, seconds))
     return Ok(HttpAnswer(response))
 
 
@@ -176,12 +176,12 @@
         return Err(Fault(code=ResultCode.ANSWER_INVALID, detail=str(error)))
 
 
-def _unreachable(error: Exception) -> Fault:
+def _unreachable_fault(error: Exception) -> Fault:
     detail = f"no connection: {str(error) or type(error).__name__}"
     return Fault(code=ResultCode.TARGET_UNREACHABLE, detail=detail)
 
 
-def _lost(error: Exception) -> Fault:
+def _lost_fault(error: Exception) -> Fault:
     detail = f"no answer: {str(error) or type(error).__name__}"
     closed = isinstance(error, (OSError, HTTPConnectionClosed))
     code = ResultCode.ANSWER_LOST if closed else ResultCode.ANSWER_INVALID
--- a/packages/loomyard-router/src/loomyard_router/targets/known_targets.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/known_targets.py
@@ -1,4 +1,4 @@
-"""What a router knows of targets from the configuration, peers, VM list and targets themselves."""
+"""The target directory of a router, from configuration, peers, VM list and the targets."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from loomyard.objects import ServiceType, Target, TargetState
 from loomyard_router.targets.cache_follower import CacheFollower
 from loomyard_router.targets.health import TargetHealth
+from loomyard_router.targets.leaving_broadcast import LeavingBroadcast
 from loomyard_router.targets.leaving_ledger import LeavingLedger
-from loomyard_router.targets.leaving_record import LeavingRecord, leaving_record
+from loomyard_router.targets.leaving_record import LeavingRecord, decode_leaving_record
 from loomyard_router.targets.leaving_vms import LeavingVms
 from loomyard_router.targets.load_poller import LoadPoller
-from loomyard_router.targets.loaded_book import LoadedBook
+from loomyard_router.targets.loaded_service_tracker import LoadedServiceTracker
 from loomyard_router.targets.prefix_index import PrefixIndex
-from loomyard_router.targets.resting_targets import RestingTargets
-from loomyard_router.targets.slot_book import SlotBook
-from loomyard_router.targets.spread import Spread
+from loomyard_router.targets.slot_estimates import SlotEstimates
+from loomyard_router.targets.target_backoffs import TargetBackoffs
 from loomyard_router.targets.target_status import TargetStanding, TargetStatus
 
 if TYPE_CHECKING:
@@ -38,18 +38,18 @@
 logger = logging.getLogger(__name__)
 
 TICK_SECONDS = 0.25
-# Longer than load reports lag.
-TARGET_HOLD = 10.0
-TARGET_EXPIRY = 60.0
-# Longer than the VM list lags.
-VM_HOLD = 60.0
+# Longer than load reports lag, so that a stale one does not end the leaving state.
+TARGET_HOLD_SECONDS = 10.0
+TARGET_EXPIRY_SECONDS = 60.0
+# Longer than the VM list lags, for the same reason.
+VM_HOLD_SECONDS = 60.0
 TARGET_TOPIC = "targets.leaving"
 VM_TOPIC = "targets.vms"
-UNREACHED = frozenset([ResultCode.TARGET_UNREACHABLE, ResultCode.ANSWER_LOST])
+UNREACHABLE_CODES = frozenset([ResultCode.TARGET_UNREACHABLE, ResultCode.ANSWER_LOST])
 
 
 class KnownTargets:
-    """The target directory of a router."""
+    """The ``TargetDirectory`` of a router that exchanges observations with others."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         gossip: Gossip,
     ) -> None:
         self._clock = clock
-        self._spread = Spread(clock, members, peers, gossip)
+        self._broadcast = LeavingBroadcast(clock, members, peers, gossip)
         self._targets: dict[str, Target] = {}
         self._versions: dict[str, int] = {}
         self._polled: set[str] = set()
@@ -68,21 +68,24 @@
         self._listeners: list[Callable[[], None]] = []
         self._task: gevent.Greenlet | None = None
         self._health = TargetHealth(clock)
-        self._resting = RestingTargets(clock)
-        self._slots = SlotBook(clock, members, peers, changed=self._tell)
-        self._loaded = LoadedBook(clock, gossip, changed=self._tell)
+        self._backoffs = TargetBackoffs(clock)
+        self._slots = SlotEstimates(clock, members, peers, changed=self._notify)
+        self._loaded = LoadedServiceTracker(clock, gossip, changed=self._notify)
         self._prefixes = PrefixIndex(clock)
         self._caches = CacheFollower(clock, engine, self._prefixes)
-        self._loads = LoadPoller(clock, engine, members, self._take_load)
+        self._load_poller = LoadPoller(clock, engine, members, self._handle_load)
         self._leaving = LeavingLedger(
-            clock, hold=TARGET_HOLD, expiry=TARGET_EXPIRY, changed=self._target_changed
+            clock,
+            hold=TARGET_HOLD_SECONDS,
+            expiry=TARGET_EXPIRY_SECONDS,
+            changed=self._target_changed,
         )
         self._leaving_vms = LeavingLedger(
-            clock, hold=VM_HOLD, expiry=None, changed=self._vm_changed
+            clock, hold=VM_HOLD_SECONDS, expiry=None, changed=self._vm_changed
         )
         self._vms = LeavingVms(self._leaving_vms)
-        self._spread.subscribe(TARGET_TOPIC, _hearing(self._leaving))
-        self._spread.subscribe(VM_TOPIC, _hearing(self._leaving_vms))
+        self._broadcast.subscribe(TARGET_TOPIC, _make_receiver(self._leaving))
+        self._broadcast.subscribe(VM_TOPIC, _make_receiver(self._leaving_vms))
 
     def may_send(self, name: str, service: str = "") -> bool:
         if name not in self._sendable:
@@ -99,15 +102,15 @@
 
     def record_prefix(self, name: str, prefix: str) -> None:
         if prefix:
-            self._prefixes.note(name, prefix)
-            self._caches.note_send(name)
+            self._prefixes.record(name, prefix)
+            self._caches.record_send(name)
 
     def report_leaving(self, name: str) -> None:
         if name in self._targets:
-            self._leaving.see_leaving(name, self._versions[name])
+            self._leaving.record_leaving(name, self._versions[name])
 
     def report_backoff(self, name: str, until: float) -> None:
-        if name in self._targets and self._resting.rest(name, until):
+        if name in self._targets and self._backoffs.record(name, until):
             seconds = round(until - self._clock.now(), 3)
             emit(logger, Event.TARGET_ASKS_FOR_REST, target=name, seconds=seconds)
             self._refresh()
@@ -115,19 +118,19 @@
     def report_attempt(self, name: str, *, answered: bool) -> None:
         if name not in self._targets:
             return
-        if answered and self._health.answered(name):
+        if answered and self._health.record_answer(name):
             self._refresh()
-        elif not answered and self._health.failed(name):
+        elif not answered and self._health.record_failure(name):
             emit(logger, Event.TARGET_EJECTED, target=name)
             self._refresh()
 
     def statuses(self) -> list[TargetStatus]:
-        """Return how each target stands here, by name."""
+        """Return the state of each target at this router, sorted by name."""
         return [self._status(name) for name in sorted(self._targets)]
 
     def apply_vm_list(self, listed: list[Vm]) -> None:
-        """Take in a reading of the VM list."""
-        self._vms.take(listed, self._vm_names())
+        """Apply a reading of the VM list."""
+        self._vms.apply_listing(listed, self._vm_names())
 
     def reconfigure(self, routing: Routing) -> None:
         self._targets = dict(routing.targets)
@@ -141,11 +144,11 @@
         self._leaving.retain(names, routing.version)
         self._leaving_vms.retain(self._vm_names(), routing.version)
         self._health.retain(names)
-        self._resting.retain(names)
+        self._backoffs.retain(names)
         self._prefixes.retain(names)
         self._slots.set_targets(self._targets)
         self._loaded.retain(names)
-        self._loads.set_targets(polled)
+        self._load_poller.set_targets(polled)
         self._refresh()
 
     def subscribe(self, changed: Callable[[], None]) -> None:
@@ -157,20 +160,20 @@
     def stop(self) -> None:
         if self._task is not None:
             self._task.kill()
-        self._loads.stop()
+        self._load_poller.stop()
         self._caches.stop()
 
     def tick(self) -> None:
-        """Start what is due."""
-        self._leaving.expire(self._would_have_heard)
-        if self._resting.expire():
+        """Expire leaving states and back-offs; start the polls and probes that are due."""
+        self._leaving.expire(self._is_observed_here)
+        if self._backoffs.expire():
             self._refresh()
-        self._loads.run_due()
+        self._load_poller.run_due()
         for name in self._health.probes_due():
             if name in self._polled:
-                self._loads.poll(name)
-            elif self._health.probed(name, answered=True):
-                # A plain service has no load report; its next request is the probe.
+                self._load_poller.poll(name)
+            elif self._health.record_probe(name, answered=True):
+                # A plain service has no load report, so its next request serves as the probe.
                 self._refresh()
         self._caches.run_due(self._targets)
 
@@ -179,47 +182,47 @@
             try:
                 self.tick()
             except Exception:
-                logger.exception("a tick of the target directory failed")
+                logger.exception("periodic work of the target directory failed")
                 emit(logger, Event.HANDLER_FAILED, part="targets")
             self._clock.sleep(TICK_SECONDS)
 
-    def _take_load(self, target: Target, loaded: Result[LoadReport, Fault]) -> None:
+    def _handle_load(self, target: Target, result: Result[LoadReport, Fault]) -> None:
         name = target.metadata.name
         if name not in self._targets:
             return
-        match loaded:
+        match result:
             case Ok(report):
-                self._take_report(target, report)
+                self._handle_report(target, report)
             case Err(fault):
                 pass
-        reached = loaded.is_ok() or fault.code not in UNREACHED
-        if self._health.probed(name, answered=reached):
+        reached = result.is_ok() or fault.code not in UNREACHABLE_CODES
+        if self._health.record_probe(name, answered=reached):
             self._prefixes.forget(name)
             self._refresh()
 
-    def _take_report(self, target: Target, report: LoadReport) -> None:
+    def _handle_report(self, target: Target, report: LoadReport) -> None:
         name = target.metadata.name
         if report.leaving:
-            self._leaving.see_leaving(name, self._versions[name])
+            self._leaving.record_leaving(name, self._versions[name])
         else:
-            self._leaving.see_live(name)
-        if self._loads.is_mine(name):
+            self._leaving.record_live(name)
+        if self._load_poller.is_own(name):
             self._slots.observe(name, report)
             self._loaded.observe(target, report)
 
     def _target_changed(self, name: str, record: LeavingRecord, own: bool) -> None:
-        self._conclude(TARGET_TOPIC, name, record, own=own)
+        self._publish(TARGET_TOPIC, name, record, own=own)
         if record.leaving:
             self._prefixes.forget(name)
 
     def _vm_changed(self, name: str, record: LeavingRecord, own: bool) -> None:
-        self._conclude(VM_TOPIC, name, record, own=own)
+        self._publish(VM_TOPIC, name, record, own=own)
 
-    def _conclude(self, topic: str, name: str, record: LeavingRecord, *, own: bool) -> None:
+    def _publish(self, topic: str, name: str, record: LeavingRecord, *, own: bool) -> None:
         event = Event.TARGET_LEAVING if record.leaving else Event.TARGET_RETURNED
         emit(logger, event, name=name, topic=topic, sequence=record.sequence, own=own)
         self._refresh()
-        self._spread.announce(topic, name, record.to_number())
+        self._broadcast.announce(topic, name, record.to_number())
 
     def _refresh(self) -> None:
         usable = {name for name in self._targets if self._is_usable(name)}
@@ -227,9 +230,9 @@
         for name in usable:
             for service in self._targets[name].services:
                 pools.setdefault(service, set()).add(name)
-        # What a target asks for itself is heeded also where none is left.
-        self._sendable = usable - self._health.ejected(pools) - self._resting.names
-        self._tell()
+        # Ejection leaves targets of each service; back-offs apply even if no target remains.
+        self._sendable = usable - self._health.ejected(pools) - self._backoffs.names
+        self._notify()
 
     def _is_usable(self, name: str) -> bool:
         target = self._targets[name]
@@ -237,9 +240,9 @@
             return False
         return not target.vm or not self._leaving_vms.is_leaving(target.vm)
 
-    def _would_have_heard(self, name: str) -> bool:
-        """Tell whether this router polls a target, or nobody does."""
-        return name not in self._polled or self._loads.is_mine(name)
+    def _is_observed_here(self, name: str) -> bool:
+        """Return whether this router polls a target, or no router does."""
+        return name not in self._polled or self._load_poller.is_own(name)
 
     def _status(self, name: str) -> TargetStatus:
         target = self._targets[name]
@@ -256,11 +259,11 @@
         if target.state is not TargetState.ACTIVE:
             return TargetStanding.LEAVING_CONFIGURED
         if self._leaving.is_leaving(name):
-            return TargetStanding.LEAVING_TOLD
+            return TargetStanding.LEAVING_ANNOUNCED
         if not self._is_usable(name):
             return TargetStanding.LEAVING_VM
-        if name in self._resting.names:
-            return TargetStanding.RESTING
+        if name in self._backoffs.names:
+            return TargetStanding.BACKING_OFF
         if name not in self._sendable:
             return TargetStanding.EJECTED
         half_open = self._health.is_half_open(name)
@@ -269,7 +272,7 @@
     def _vm_names(self) -> set[str]:
         return {target.vm for target in self._targets.values() if target.vm}
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         for listener in self._listeners:
             listener()
 
@@ -282,12 +285,12 @@
     *,
     gossip: Gossip | None = None,
 ) -> KnownTargets:
-    """Make the target directory of a router; membership gossips where nothing else does."""
+    """Create the target directory of a router; ``gossip`` defaults to the membership."""
     return KnownTargets(clock, engine, members, peers, gossip or members)
 
 
-def _hearing(ledger: LeavingLedger) -> Callable[[str, int], None]:
-    def hear(name: str, value: int) -> None:
-        ledger.hear(name, leaving_record(value))
+def _make_receiver(ledger: LeavingLedger) -> Callable[[str, int], None]:
+    def receive(name: str, value: int) -> None:
+        ledger.apply_remote(name, decode_leaving_record(value))
 
-    return hear
+    return receive
--- a/packages/loomyard-router/src/loomyard_router/targets/leaving_ledger.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/leaving_ledger.py
@@ -1,4 +1,4 @@
-"""Who is leaving, from one kind of evidence and from what peers heard."""
+"""Which objects of one kind (targets, VMs) are leaving, by own observations and by peers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 UNKNOWN = LeavingRecord(-1, 0, leaving=False)
 MAX_HOLD_FACTOR = 8.0
-# Gossip forgets items after some minutes; routers that start later must hear them too.
+# Gossip items expire after some minutes; repeats reach routers that start later.
 REPEAT_SECONDS = 60.0
 
 
@@ -24,14 +24,15 @@
     record: LeavingRecord = UNKNOWN
     last_leaving_at: float = float("-inf")
     hold_factor: float = 1.0
-    told_at: float = float("-inf")
+    published_at: float = float("-inf")
 
 
 class LeavingLedger:
-    """Learn "leaving" at once and "returned" only from evidence that outlasts its source's lag.
+    """Leaving state by name: entered at once, left only after the lag of its source has passed.
 
-    ``hold`` is in seconds, longer than the source lags; each return that was wrong doubles it.
-    ``expiry`` is in seconds without any evidence, ``None`` for never.
+    ``hold`` (s) must exceed the lag of the source; it doubles after each return that proved wrong.
+    ``expiry`` is the time (s) without observations after which "leaving" ends, ``None`` for never.
+    ``changed`` is called with name, record and whether this router made the change.
     """
 
     def __init__(
@@ -49,54 +50,54 @@
         self._entries: dict[str, _Entry] = {}
 
     def is_leaving(self, name: str) -> bool:
-        """Tell what is believed."""
+        """Return whether an object is considered leaving."""
         entry = self._entries.get(name)
         return entry is not None and entry.record.leaving
 
-    def see_leaving(self, name: str, version: int = 0) -> None:
-        """Take in evidence of this router that something is leaving."""
+    def record_leaving(self, name: str, version: int = 0) -> None:
+        """Record an observation by this router that an object is leaving."""
         entry = self._entries.setdefault(name, _Entry())
         if entry.record.leaving and entry.record.version >= version:
             entry.last_leaving_at = now = self._clock.now()
-            if now - entry.told_at >= REPEAT_SECONDS:
-                entry.told_at = now
+            if now - entry.published_at >= REPEAT_SECONDS:
+                entry.published_at = now
                 self._changed(name, entry.record, True)
             return
-        self._learn_leaving(entry)
-        self._conclude(name, entry, version, leaving=True)
+        self._start_hold(entry)
+        self._publish(name, entry, version, leaving=True)
 
-    def see_live(self, name: str) -> None:
-        """Take in evidence of this router that something is not leaving; it may be stale."""
+    def record_live(self, name: str) -> None:
+        """Record an observation by this router that an object is not leaving; it may be stale."""
         entry = self._entries.get(name)
         if entry is None or not entry.record.leaving:
             return
         held = self._hold * entry.hold_factor
         if self._clock.now() - entry.last_leaving_at >= held:
-            self._conclude(name, entry, entry.record.version, leaving=False)
+            self._publish(name, entry, entry.record.version, leaving=False)
 
-    def hear(self, name: str, record: LeavingRecord) -> None:
-        """Take in what a peer concluded."""
+    def apply_remote(self, name: str, record: LeavingRecord) -> None:
+        """Apply a record of another router if it is newer."""
         entry = self._entries.setdefault(name, _Entry())
         if record <= entry.record:
             return
         was_leaving = entry.record.leaving
         if record.leaving and not was_leaving:
-            self._learn_leaving(entry)
+            self._start_hold(entry)
         entry.record = record
         if record.leaving != was_leaving:
             self._changed(name, record, False)
 
     def supersede(self, name: str, version: int) -> None:
-        """Drop what was known before a new configuration of the object."""
-        # Made also where nothing was known: late notices of before must not count afterwards.
+        """Reset an object to not leaving if its configuration is newer than its record."""
+        # Unknown objects get an entry too: it rejects late records of earlier configurations.
         entry = self._entries.setdefault(name, _Entry())
         if entry.record.version < version:
             entry.record = LeavingRecord(version, 0, leaving=False)
 
     def expire(self, may_expire: Callable[[str], bool]) -> None:
-        """Give up beliefs for which there has been no evidence for long.
+        """End the leaving state of objects that were not observed as leaving for ``expiry``.
 
-        ``may_expire`` tells of what this router would have seen evidence.
+        ``may_expire`` returns whether this router would have observed the object.
         """
         if self._expiry is None:
             return
@@ -105,15 +106,15 @@
             held = self._expiry * entry.hold_factor
             stale = entry.record.leaving and now - entry.last_leaving_at >= held
             if stale and may_expire(name):
-                self._conclude(name, entry, entry.record.version, leaving=False)
+                self._publish(name, entry, entry.record.version, leaving=False)
 
     def retain(self, names: set[str], version: int) -> None:
-        """Forget everything else but what peers know of a later configuration."""
+        """Drop all other objects, except records of a configuration later than ``version``."""
         for name in self._entries.keys() - names:
             if self._entries[name].record.version <= version:
                 del self._entries[name]
 
-    def _learn_leaving(self, entry: _Entry) -> None:
+    def _start_hold(self, entry: _Entry) -> None:
         now = self._clock.now()
         if now - entry.last_leaving_at < self._hold * entry.hold_factor * MAX_HOLD_FACTOR:
             entry.hold_factor = min(2 * entry.hold_factor, MAX_HOLD_FACTOR)
@@ -121,7 +122,7 @@
             entry.hold_factor = 1.0
         entry.last_leaving_at = now
 
-    def _conclude(self, name: str, entry: _Entry, version: int, *, leaving: bool) -> None:
-        entry.record = entry.record.follow(version, leaving=leaving)
-        entry.told_at = self._clock.now()
+    def _publish(self, name: str, entry: _Entry, version: int, *, leaving: bool) -> None:
+        entry.record = entry.record.successor(version, leaving=leaving)
+        entry.published_at = self._clock.now()
         self._changed(name, entry.record, True)
--- a/packages/loomyard-router/src/loomyard_router/targets/leaving_notice.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/leaving_notice.py
@@ -1,4 +1,4 @@
-"""A leaving record on its direct way to a few other routers."""
+"""The peer message that carries a leaving record."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 @peer_message("leaving")
 @frozen(kw_only=True)
 class LeavingNotice:
-    """The number of a leaving record; ``topic`` and ``key`` as in the gossip."""
+    """A leaving record; ``value`` is its integer, ``topic`` and ``key`` are as in the gossip."""
 
     topic: str
     key: str
--- a/packages/loomyard-router/src/loomyard_router/targets/leaving_vms.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/leaving_vms.py
@@ -1,4 +1,4 @@
-"""What the lagging VM list says of the VMs of targets."""
+"""Leaving state of the targets' VMs, from the VM list."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 class LeavingVms:
-    """Turn readings of the list into evidence."""
+    """Records observations of VMs in a leaving ledger; the VM list lags behind reality."""
 
     def __init__(self, ledger: LeavingLedger) -> None:
         self._ledger = ledger
         self._listed: set[str] = set()
 
-    def take(self, listed: list[Vm], names: set[str]) -> None:
-        """Take in a reading, for the VMs of some names."""
+    def apply_listing(self, listed: list[Vm], names: set[str]) -> None:
+        """Apply a reading of the VM list to the VMs in ``names``."""
         states = {vm.name: vm.state for vm in listed if vm.name in names}
         for name in names:
             state = states.get(name)
-            # A VM that was never listed may be too new for the lagging list; one that was and is
-            # no longer has gone.
+            # A VM that was never listed may be too new for the lagging list; one that was listed
+            # and is no longer is gone.
             if state is VmState.LEAVING or (state is None and name in self._listed):
-                self._ledger.see_leaving(name)
+                self._ledger.record_leaving(name)
             elif state is VmState.LIVE:
-                self._ledger.see_live(name)
+                self._ledger.record_live(name)
         self._listed |= states.keys()
         self._listed &= names
--- a/packages/loomyard-router/src/loomyard_router/targets/loaded_services.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/loaded_services.py
@@ -1,4 +1,4 @@
-"""Which of its services a target has loaded, as a number that goes between routers."""
+"""Encoding of a target's loaded services as an integer for gossip."""
 
 from __future__ import annotations
 
@@ -14,19 +14,22 @@
 
 
 def to_number(target: Target, sequence: int, models: Iterable[str]) -> int:
-    """Return a number that grows with the sequence; services stand in configured order."""
+    """Encode as the sequence, then a bit mask of the services in configured order.
+
+    A later sequence gives a greater number, as gossip keeps the greatest value of a key.
+    """
     known = set(models)
     mask = sum(1 << n for n, service in enumerate(_services(target)) if service in known)
     return sequence << MASK_BITS | mask
 
 
 def sequence_of(number: int) -> int:
-    """Return the sequence of a number."""
+    """Return the sequence of an encoded number."""
     return number >> MASK_BITS
 
 
 def services_of(target: Target, number: int) -> list[str]:
-    """Return the loaded services of a number."""
+    """Return the loaded services of an encoded number."""
     return [service for n, service in enumerate(_services(target)) if number >> n & 1]
 
 
--- a/packages/loomyard-router/src/loomyard_router/targets/prefix_index.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/prefix_index.py
@@ -1,4 +1,4 @@
-"""What the prefix caches of targets probably hold."""
+"""Index of the prompt prefixes that targets probably cache."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 MAX_ENTRIES_PER_TARGET = 1024
 MIN_ENTRIES_PER_TARGET = 32
 ENTRY_SECONDS = 600.0
-# An own send younger than this outlives a gap: its event may still be on its way.
+# Entries younger than this survive a gap in the events: their own event may still be delayed.
 FRESH_SECONDS = 10.0
 
 
 @define(eq=False)
 class _TargetPrefixes:
-    """Prefixes of one target, the least recently used first; the value is when it was seen."""
+    """Prefixes of one target, least recently used first, with the time (s) they were seen."""
 
     seen: dict[str, float] = field(factory=dict)
     sequence: int = 0
 
 
 class PrefixIndex:
-    """Own sends and cache events; a hint only, bounded in memory."""
+    """Prefixes from this router's own sends and from cache events; a hint, bounded in memory."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -37,15 +37,15 @@
         self._capacity = MAX_ENTRIES_PER_TARGET
 
     def holds(self, name: str, prefix: str) -> bool:
-        """Tell whether a target probably holds a prefix."""
+        """Return whether a target probably caches a prefix."""
         entry = self._targets.get(name)
         if entry is None:
             return False
         seen = entry.seen.get(prefix)
         return seen is not None and self._clock.now() - seen < ENTRY_SECONDS
 
-    def note(self, name: str, prefix: str) -> None:
-        """Take in that a target was sent or stored a prefix."""
+    def record(self, name: str, prefix: str) -> None:
+        """Record that a target was sent or has stored a prefix."""
         if not prefix:
             return
         seen = self._targets.setdefault(name, _TargetPrefixes()).seen
@@ -55,41 +55,41 @@
             del seen[next(iter(seen))]
 
     def sequence(self, name: str) -> int:
-        """Return the number of the last cache event taken in."""
+        """Return the sequence of the last cache event applied, 0 before the first."""
         entry = self._targets.get(name)
         return 0 if entry is None else entry.sequence
 
-    def take_events(self, name: str, events: Iterable[CacheEvent]) -> bool:
-        """Take cache events in; tell whether there was no gap.
+    def apply_events(self, name: str, events: Iterable[CacheEvent]) -> bool:
+        """Apply cache events; return whether their sequence had no gap.
 
-        After a gap or a restart of the numbers an eviction may have been missed, so all but
-        fresh entries are forgotten.
+        After a gap or a restart of the sequence an eviction may have been missed, so all entries
+        but the recent ones are dropped.
         """
         entry = self._targets.setdefault(name, _TargetPrefixes())
-        whole = True
+        complete = True
         for event in events:
             if event.sequence != entry.sequence + 1:
-                whole = False
-                self._forget_old(entry)
+                complete = False
+                self._drop_old(entry)
             entry.sequence = event.sequence
             if event.stored:
-                self.note(name, event.prefix)
+                self.record(name, event.prefix)
             else:
                 entry.seen.pop(event.prefix, None)
-        return whole
+        return complete
 
     def forget(self, name: str) -> None:
-        """Forget a target, whose cache is gone or unknown."""
+        """Drop the entries of a target whose cache is lost or unknown."""
         self._targets.pop(name, None)
 
     def retain(self, names: set[str]) -> None:
-        """Forget all other targets and share the memory among these."""
+        """Drop all other targets and divide the memory among these."""
         for name in self._targets.keys() - names:
             del self._targets[name]
-        part = MAX_ENTRIES // max(1, len(names))
-        self._capacity = max(MIN_ENTRIES_PER_TARGET, min(part, MAX_ENTRIES_PER_TARGET))
+        share = MAX_ENTRIES // max(1, len(names))
+        self._capacity = max(MIN_ENTRIES_PER_TARGET, min(share, MAX_ENTRIES_PER_TARGET))
 
-    def _forget_old(self, entry: _TargetPrefixes) -> None:
+    def _drop_old(self, entry: _TargetPrefixes) -> None:
         since = self._clock.now() - FRESH_SECONDS
         for prefix in [p for p, at in entry.seen.items() if at < since]:
             del entry.seen[prefix]
--- a/packages/loomyard-router/src/loomyard_router/targets/slot_estimate.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/slot_estimate.py
@@ -1,4 +1,4 @@
-"""How many requests keep an engine just full, from its lagging load reports."""
+"""Estimate of an engine's concurrency limit from its delayed load reports."""
 
 from __future__ import annotations
 
@@ -9,25 +9,26 @@
     from loomyard.outside.engine import LoadReport
 
 MAX_SLOTS = 4096
-# The estimate never passes this many times the configured slots.
+# Limit of the estimate, as a multiple of the configured slots.
 MAX_GROWTH = 4
-# Queued requests that are welcome: the next one starts while the answer to the last travels.
-ALLOWANCE_PART = 0.05
-GROWTH_PART = 0.25
-# A report of this part of the slots in use counts as full: the rest travels.
-FULL_PART = 0.9
+# Queued requests tolerated, as a fraction of those running: they keep the engine busy while
+# answers travel back and new requests travel there.
+QUEUE_ALLOWANCE_FRACTION = 0.05
+GROWTH_FRACTION = 0.25
+# A report counts as full from this fraction of the slots on: the other requests are in transit.
+FULL_FRACTION = 0.9
 REPORTS_TO_SHRINK = 3
-# Growing must add at least this part of the throughput that it would add to a perfect engine.
+# Growth must add at least this fraction of the throughput it would add with linear scaling.
 MIN_GAIN = 0.25
 REPROBE_SECONDS = 60.0
 MAX_REPROBE_SECONDS = 960.0
 
 
 class SlotEstimate:
-    """Grow where a report shows the last growth in use without a queue; else read the limit off.
+    """Grows while reports show all slots in use without a queue; shrinks to the reported limit.
 
-    A full engine with a queue shows its limit as ``running``, however old the report is, so
-    shrinking needs no control loop that could swing with the lag.
+    A full engine with a queue reports its limit as ``running``, however old the report is, so
+    shrinking needs no control loop that could oscillate with the delay.
     """
 
     def __init__(self, start: int) -> None:
@@ -47,31 +48,31 @@
         return self._start
 
     def adopt(self, slots: int) -> None:
-        """Go on from what a peer found."""
+        """Replace the estimate by that of another router, within the bounds."""
         self._slots = self._bounded(slots)
 
     def observe(self, report: LoadReport, now: float) -> bool:
-        """Take a report in; tell whether the estimate changed."""
+        """Update the estimate by a load report; return whether it changed."""
         before = self._slots
-        if report.waiting > allowance(report.running):
-            self._see_queue(report, now)
+        if report.waiting > queue_allowance(report.running):
+            self._observe_queue(report, now)
         else:
             self._queueing.clear()
-            if report.waiting == 0 and report.running >= FULL_PART * self._slots:
-                self._see_full(report, now)
+            if report.waiting == 0 and report.running >= FULL_FRACTION * self._slots:
+                self._observe_full(report, now)
         return self._slots != before
 
-    def _see_queue(self, report: LoadReport, now: float) -> None:
+    def _observe_queue(self, report: LoadReport, now: float) -> None:
         self._queueing.append(report.running)
         if len(self._queueing) < REPORTS_TO_SHRINK:
             return
         limit = max(self._queueing)
-        found = self._bounded(limit + allowance(limit))
+        found = self._bounded(limit + queue_allowance(limit))
         if found < self._slots:
             self._slots = found
             self._hold_growth(now)
 
-    def _see_full(self, report: LoadReport, now: float) -> None:
+    def _observe_full(self, report: LoadReport, now: float) -> None:
         if self._gained_too_little(report):
             assert self._last_full is not None
             self._slots = self._bounded(self._last_full[0])
@@ -82,7 +83,7 @@
             return
         if report.step_seconds > 0:
             self._last_full = (report.running, report.step_seconds)
-        self._slots = self._bounded(self._slots + max(1, int(self._slots * GROWTH_PART)))
+        self._slots = self._bounded(self._slots + max(1, int(self._slots * GROWTH_FRACTION)))
 
     def _gained_too_little(self, report: LoadReport) -> bool:
         if self._last_full is None or report.step_seconds <= 0:
@@ -90,9 +91,9 @@
         running, step_seconds = self._last_full
         if report.running <= running:
             return False
-        wanted = 1 + MIN_GAIN * (report.running / running - 1)
+        required = 1 + MIN_GAIN * (report.running / running - 1)
         gain = (report.running / report.step_seconds) / (running / step_seconds)
-        return gain < wanted
+        return gain < required
 
     def _hold_growth(self, now: float) -> None:
         self._grow_after = now + self._reprobe
@@ -102,6 +103,6 @@
         return max(1, min(slots, self._start * MAX_GROWTH, MAX_SLOTS))
 
 
-def allowance(running: int) -> int:
-    """Return how many requests may queue at an engine that runs some."""
-    return max(1, round(running * ALLOWANCE_PART))
+def queue_allowance(running: int) -> int:
+    """Return how many requests may queue at an engine that runs ``running``, at least one."""
+    return max(1, round(running * QUEUE_ALLOWANCE_FRACTION))
--- a/packages/loomyard-router/src/loomyard_router/targets/slot_book.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/slot_estimates.py
@@ -1,4 +1,4 @@
-"""The slot estimates of all targets, shared between the routers that need them."""
+"""Slot estimates of all targets, sent to the routers that need them."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     from loomyard_router.members.membership import Member, Membership
     from loomyard_router.peers.links import PeerLinks
 
-# Up to this many routers all hear of each estimate; in larger fleets the allocator of slots does,
-# and those who would succeed it.
+# In a fleet of up to this many routers each gets all estimates; in a larger one only the slot
+# allocator and those next in line to become it.
 SMALL_FLEET = 16
 ALLOCATORS = 3
 REPEAT_SECONDS = 60.0
@@ -31,11 +31,11 @@
 class _Entry:
     estimate: SlotEstimate
     sequence: int = 0
-    told_at: float = float("-inf")
+    published_at: float = float("-inf")
 
 
-class SlotBook:
-    """Estimate what this router polls; adopt what other routers found."""
+class SlotEstimates:
+    """Estimates the slots of targets that this router polls; adopts other routers' estimates."""
 
     def __init__(
         self, clock: Clock, members: Membership, peers: PeerLinks, changed: Callable[[], None]
@@ -46,10 +46,10 @@
         self._changed = changed
         self._targets: dict[str, Target] = {}
         self._entries: dict[str, _Entry] = {}
-        peers.handle(SlotsNotice, self._hear)
+        peers.handle(SlotsNotice, self._receive)
 
     def set_targets(self, targets: dict[str, Target]) -> None:
-        """Take the targets over; a new number of configured slots starts an estimate anew."""
+        """Replace the targets; a changed number of configured slots resets the estimate."""
         self._targets = targets
         for name in self._entries.keys() - targets:
             del self._entries[name]
@@ -58,37 +58,37 @@
                 entry.estimate = SlotEstimate(targets[name].slots)
 
     def slots(self, target: Target) -> int:
-        """Return the estimate for a target."""
+        """Return the estimate for a target, its configured slots where there is none."""
         entry = self._entries.get(target.metadata.name)
         return target.slots if entry is None else entry.estimate.slots
 
     def observe(self, name: str, report: LoadReport) -> None:
-        """Take in a load report of a target that this router polls."""
+        """Update the estimate by a load report of a target that this router polls."""
         entry = self._entry(name)
         now = self._clock.now()
         changed = entry.estimate.observe(report, now)
         if changed:
             entry.sequence += 1
         learned = entry.estimate.slots != entry.estimate.start
-        # Repeats reach keepers that are new and make up for lost messages.
-        if changed or (learned and now - entry.told_at >= REPEAT_SECONDS):
-            entry.told_at = now
-            self._tell(name, entry)
+        # Repeats reach new allocators and make up for lost messages.
+        if changed or (learned and now - entry.published_at >= REPEAT_SECONDS):
+            entry.published_at = now
+            self._publish(name, entry)
         if changed:
             self._changed()
 
-    def _tell(self, name: str, entry: _Entry) -> None:
+    def _publish(self, name: str, entry: _Entry) -> None:
         notice = SlotsNotice(target=name, sequence=entry.sequence, slots=entry.estimate.slots)
-        for router in self._audience():
+        for router in self._recipients():
             self._peers.send(router, notice)
 
-    def _audience(self) -> set[str]:
+    def _recipients(self) -> set[str]:
         names = [member.name for member in self._members.live()]
         if len(names) > SMALL_FLEET:
             names = rendezvous.rank(ALLOCATOR_KEY, names)[:ALLOCATORS]
         return set(names) - {self._members.own.name}
 
-    def _hear(self, _: Member, notice: SlotsNotice) -> None:
+    def _receive(self, _: Member, notice: SlotsNotice) -> None:
         if notice.target not in self._targets:
             return
         entry = self._entry(notice.target)
--- a/packages/loomyard-router/src/loomyard_router/targets/slots_notice.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/slots_notice.py
@@ -1,4 +1,4 @@
-"""What the router that polls a target found, as it goes between routers."""
+"""The peer message that carries a slot estimate."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 @peer_message("slots")
 @frozen(kw_only=True)
 class SlotsNotice:
-    """A slot estimate; of one target the greater ``sequence`` is the newer."""
+    """The slot estimate of a target; the greater ``sequence`` is the newer."""
 
     target: str
     sequence: int
--- a/packages/loomyard-router/src/loomyard_router/targets/resting_targets.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/target_backoffs.py
@@ -1,4 +1,4 @@
-"""Which targets asked this router to leave them alone for a while."""
+"""Targets that asked this router in a refusal (``Retry-After``) to back off."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
     from loomyard.clock import Clock
 
 
-class RestingTargets:
-    """Targets by name, or by the name of a life, each until the latest time that it asked for."""
+class TargetBackoffs:
+    """End of the back-off (clock time, s) by target name or incarnation."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -19,28 +19,28 @@
 
     @property
     def names(self) -> set[str]:
-        """Return the targets that rest now."""
+        """Return the targets that are backed off from now."""
         now = self._clock.now()
         return {name for name, until in self._until.items() if until > now}
 
     def until(self, name: str) -> float:
-        """Return until when a target rests; it may have passed."""
+        """Return the end of a target's back-off, 0 if there is none; it may have passed."""
         return self._until.get(name, 0.0)
 
-    def rest(self, name: str, until: float) -> bool:
-        """Take in a wish for rest, which shortens no other; tell whether the target rests anew."""
+    def record(self, name: str, until: float) -> bool:
+        """Record a request to back off, which never shortens another; return whether it begins."""
         new = name not in self.names
         self._until[name] = max(until, self._until.get(name, until))
         return new
 
     def expire(self) -> bool:
-        """Forget wishes that are over; tell whether there were any."""
-        over = self._until.keys() - self.names
-        for name in over:
+        """Drop back-offs that are over; return whether there were any."""
+        expired = self._until.keys() - self.names
+        for name in expired:
             del self._until[name]
-        return bool(over)
+        return bool(expired)
 
     def retain(self, names: Iterable[str]) -> None:
-        """Forget all other targets."""
+        """Drop the state of all other targets."""
         for name in self._until.keys() - set(names):
             del self._until[name]
--- a/packages/loomyard-router/src/loomyard_router/targets/target_status.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/target_status.py
@@ -1,4 +1,4 @@
-"""How a target stands in the eyes of one router, for operators."""
+"""The state of a target at one router, as operators see it."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class TargetStanding(Enum):
-    """Whether a target gets new work, and the first reason why not."""
+    """Whether a target gets new requests, and the first reason why not."""
 
     SERVING = "serving"
     LEAVING_CONFIGURED = "leaving by configuration"
-    LEAVING_TOLD = "leaving by its own word"
+    LEAVING_ANNOUNCED = "leaving by its own word"
     LEAVING_VM = "leaving by the VM list"
-    RESTING = "resting by its own wish"
+    BACKING_OFF = "resting by its own wish"
     EJECTED = "ejected after failed attempts"
     PROBING = "half-open after failed attempts"
 
 
 @frozen(kw_only=True)
 class TargetStatus:
-    """``slots`` is the estimate, ``loaded`` the services loaded now."""
+    """A target at one router; ``slots`` is the estimate, ``loaded`` the services loaded now."""
 
     name: str
     standing: TargetStanding
--- a/tests/test_loomyard_router/test_targets/test_http_engine.py
+++ b/tests/test_loomyard_router/test_targets/test_http_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the adapter for HTTP targets: what is certain about a call."""
+"""Tests of the adapter for HTTP targets: retries, and whether a failed call may have run."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
             idempotent=idempotent,
         )
 
-    def test_a_call_that_loses_its_kept_connection_is_not_sent_again(self) -> None:
+    def test_a_call_on_a_reused_connection_that_closes_is_not_retried(self) -> None:
         for method in METHODS:
             with self.subTest(method=method):
                 self.target.script = answer_once
@@ -51,14 +51,14 @@
                 self.assertEqual(fault.executed, Executed.UNKNOWN)
                 self.assertEqual(len(self.target.calls), 1)
 
-    def test_a_call_that_may_run_once_takes_no_kept_connection(self) -> None:
+    def test_a_non_idempotent_call_uses_a_new_connection(self) -> None:
         for _ in range(2):
             self.engine.open(self.call(idempotent=True)).unwrap().read()
         for _ in range(2):
             self.engine.open(self.call(idempotent=False)).unwrap().read()
         self.assertEqual([call.connection for call in self.target.calls], [0, 0, 1, 2])
 
-    def test_no_connection_is_certain(self) -> None:
+    def test_a_refused_connection_is_reported_as_not_executed(self) -> None:
         unused = sockets.socket()
         unused.bind(("127.0.0.1", 0))
         self.addCleanup(unused.close)
@@ -66,7 +66,7 @@
         fault = self.engine.open(self.call(url=url)).unwrap_err()
         self.assertEqual((fault.code, fault.executed), (ResultCode.TARGET_UNREACHABLE, Executed.NO))
 
-    def test_garbage_and_half_answers(self) -> None:
+    def test_invalid_and_truncated_answers_are_reported_as_unknown(self) -> None:
         answers = {
             b"no HTTP at all\r\n\r\n": ResultCode.ANSWER_INVALID,
             b"HTTP/1.1 200 OK\r\nContent-Length: ten\r\n\r\n": ResultCode.ANSWER_INVALID,
--- a/tests/test_loomyard_router/test_targets/test_known_targets.py
+++ b/tests/test_loomyard_router/test_targets/test_known_targets.py
@@ -1,4 +1,4 @@
-"""Tests of what routers know of targets: leaving, ejection, loaded services."""
+"""Tests of the target directory: leaving, ejection, back-off and loaded services."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from loomyard_router.members.membership import Member, SoleMembership
 from loomyard_router.targets.health import FAILURES_TO_EJECT, MAX_BACKOFF
 from loomyard_router.targets.known_targets import (
-    TARGET_EXPIRY,
-    TARGET_HOLD,
-    VM_HOLD,
+    TARGET_EXPIRY_SECONDS,
+    TARGET_HOLD_SECONDS,
+    VM_HOLD_SECONDS,
     make_known_targets,
 )
 from loomyard_standins.fake_clock import FakeClock
@@ -106,29 +106,29 @@
         self.pass_time(2.0)
         self.assertEqual(self.views("d"), [False, False])
 
-    def test_a_peer_alone_suffices(self) -> None:
-        told: list[bool] = []
-        self.routers[1].subscribe(lambda: told.append(self.routers[1].may_send("a")))
+    def test_a_record_of_a_peer_alone_stops_new_work(self) -> None:
+        seen: list[bool] = []
+        self.routers[1].subscribe(lambda: seen.append(self.routers[1].may_send("a")))
         self.routers[0].report_leaving("a")
-        self.assertEqual(told, [False])
+        self.assertEqual(seen, [False])
 
-    def test_a_stale_live_undoes_nothing(self) -> None:
+    def test_a_load_report_within_the_hold_does_not_end_leaving(self) -> None:
         self.set_vm("a", VmState.LIVE)
         self.pass_time(2.0)
         self.routers[0].report_leaving("a")
-        self.pass_time(TARGET_HOLD - 2.0)
+        self.pass_time(TARGET_HOLD_SECONDS - 2.0)
         self.assertEqual(self.views("a"), [False, False])
 
-    def test_a_stale_vm_list_undoes_nothing(self) -> None:
+    def test_a_vm_list_within_the_hold_does_not_end_leaving(self) -> None:
         self.set_vm("a", VmState.LEAVING)
         self.pass_time(2.0)
         self.set_vm("a", VmState.LIVE)
-        self.pass_time(VM_HOLD - 4.0)
+        self.pass_time(VM_HOLD_SECONDS - 4.0)
         self.assertEqual(self.views("a"), [False, False])
         self.pass_time(6.0)
         self.assertEqual(self.views("a"), [True, True])
 
-    def test_a_vm_that_vanishes_has_gone(self) -> None:
+    def test_a_vm_that_vanishes_from_the_list_counts_as_leaving(self) -> None:
         self.set_vm("a", VmState.LIVE)
         self.pass_time(2.5)
         self.vm_list.vms = []
@@ -136,7 +136,7 @@
         self.pass_time(2.5)
         self.assertEqual(self.views("a"), [False, False])
 
-    def test_return_is_learned_and_wrong_returns_grow_rare(self) -> None:
+    def test_wrong_returns_double_the_hold_and_a_true_return_is_learned(self) -> None:
         returns = 0
         for _ in range(240):
             if self.routers[0].may_send("a"):
@@ -144,35 +144,35 @@
                 self.routers[0].report_leaving("a")
             self.pass_time(1.0)
         self.assertIn(returns, range(3, 7))
-        self.pass_time(TARGET_HOLD * 8)
+        self.pass_time(TARGET_HOLD_SECONDS * 8)
         self.assertEqual(self.views("a"), [True, True])
 
-    def test_a_new_configuration_ends_it_and_late_notices_do_not_revive_it(self) -> None:
+    def test_a_new_configuration_ends_leaving_despite_late_records(self) -> None:
         self.gossip.cut = True
         self.routers[0].report_leaving("a")
         self.publish(target("a", vm="vm-a", slots=9))
         self.gossip.heal()
         self.assertEqual(self.views("a"), [True, True])
 
-    def test_notices_out_of_order(self) -> None:
+    def test_records_received_out_of_order(self) -> None:
         self.routers[0].report_leaving("a")
         self.gossip.cut = True
-        self.pass_time(TARGET_HOLD + 2.0)
+        self.pass_time(TARGET_HOLD_SECONDS + 2.0)
         self.routers[0].report_leaving("a")
         self.gossip.heal(backwards=True)
         self.assertEqual(self.views("a"), [False, False])
 
-    def test_a_plain_target_is_tried_again(self) -> None:
+    def test_leaving_of_a_plain_target_expires(self) -> None:
         self.publish(target("p", services=["records"]))
         self.routers[1].report_leaving("p")
-        self.pass_time(TARGET_EXPIRY - 1.0)
+        self.pass_time(TARGET_EXPIRY_SECONDS - 1.0)
         self.assertEqual(self.views("p"), [False, False])
         self.pass_time(2.0)
         self.assertEqual(self.views("p"), [True, True])
 
 
 class EjectionTest(TargetsCase):
-    def fail(self, *names: str) -> None:  # type: ignore[override]
+    def eject(self, *names: str) -> None:
         for name in names:
             self.engines.engines[URL.format(name)].reachable = False
             for _ in range(FAILURES_TO_EJECT):
@@ -181,8 +181,8 @@
     def sendable(self) -> str:
         return "".join(name for name in "abcd" if self.routers[0].may_send(name))
 
-    def test_until_a_probe_answers(self) -> None:
-        self.fail("a")
+    def test_an_ejection_lasts_until_a_probe_answers(self) -> None:
+        self.eject("a")
         self.assertEqual(self.sendable(), "bcd")
         self.assertEqual(self.views("a"), [False, True])
         self.pass_time(10.0)
@@ -194,13 +194,13 @@
         self.routers[0].report_attempt("a", answered=False)
         self.assertEqual(self.sendable(), "bcd")
 
-    def test_an_answer_between_failures(self) -> None:
+    def test_an_answer_between_failures_prevents_ejection(self) -> None:
         for answered in (False, False, True, False, False):
             self.routers[0].report_attempt("a", answered=answered)
         self.assertEqual(self.sendable(), "abcd")
 
-    def test_never_more_than_half_nor_the_last(self) -> None:
-        self.fail(*"abcd")
+    def test_at_most_half_is_ejected_and_never_the_last(self) -> None:
+        self.eject(*"abcd")
         self.assertEqual(self.sendable(), "cd")
         self.routers[0].report_leaving("d")
         self.assertEqual(self.sendable(), "bc")
@@ -209,8 +209,8 @@
         self.assertEqual(self.sendable(), "a")
 
 
-class RestTest(TargetsCase):
-    def test_a_target_rests_at_the_router_that_it_asked_until_the_latest_end(self) -> None:
+class BackoffTest(TargetsCase):
+    def test_only_the_asked_router_backs_off_until_the_latest_end(self) -> None:
         router = self.routers[0]
         router.report_backoff("a", self.clock.now() + 3.0)
         router.report_backoff("a", self.clock.now() + 1.0)
@@ -220,14 +220,14 @@
         self.pass_time(1.5)
         self.assertEqual([True, True], self.views("a"))
 
-    def test_all_may_rest(self) -> None:
+    def test_backoff_applies_even_if_no_target_remains(self) -> None:
         for name in "abcd":
             self.routers[0].report_backoff(name, self.clock.now() + 3.0)
         self.assertEqual([False] * 4, [self.routers[0].may_send(name) for name in "abcd"])
 
 
 class LoadedTest(TargetsCase):
-    def test_what_is_loaded_now_counts(self) -> None:
+    def test_only_loaded_services_may_be_sent(self) -> None:
         tagger = Service(metadata=Metadata(name="tagger"))
         self.publish(tagger, target("a", vm="vm-a", loadable=["tagger"]))
         router = self.routers[0]
--- a/tests/test_loomyard_router/test_targets/test_leaving_spread.py
+++ b/tests/test_loomyard_router/test_targets/test_leaving_broadcast.py
@@ -1,4 +1,4 @@
-"""Tests that "leaving" reaches every router within two seconds, over lossy datagrams."""
+"""Tests that "leaving" reaches every router within two seconds, despite lost datagrams."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from loomyard.routing import Routing
 from loomyard_router.peers.no_peers import NoPeers
 from loomyard_router.targets.known_targets import KnownTargets, make_known_targets
-from loomyard_router.targets.spread import NEIGHBOURS
+from loomyard_router.targets.leaving_broadcast import NEIGHBOURS
 from loomyard_standins.memory_engines import MemoryEngines
 from loomyard_standins.memory_network import MemoryNetwork
 from test_loomyard_router.test_members.test_swim import TIMES, Fleet
@@ -28,7 +28,7 @@
     )
 
 
-class LeavingSpreadTest(unittest.TestCase):
+class LeavingBroadcastTest(unittest.TestCase):
     def start(self, count: int, *, linked: bool = True) -> tuple[Fleet, dict[str, KnownTargets]]:
         objects = [Service(metadata=Metadata(name="model")), target("a"), target("b")]
         change = Change(change_id="c", puts=[Put(object=item) for item in objects])
@@ -56,7 +56,7 @@
             fleet.run(TIMES.tick)
         return fleet.clock.now() - since
 
-    def test_within_two_seconds_of_the_first_knowledge(self) -> None:
+    def test_all_routers_know_within_two_seconds(self) -> None:
         for count in (3, 9, 60):
             with self.subTest(routers=count):
                 fleet, routers = self.start(count)
@@ -67,12 +67,12 @@
                 )
                 self.assertLessEqual(self.seconds_until_known(fleet, routers, "b"), SPREAD_SECONDS)
 
-    def test_gossip_alone_does_for_a_small_fleet(self) -> None:
+    def test_gossip_alone_is_fast_enough_for_a_small_fleet(self) -> None:
         fleet, routers = self.start(9, linked=False)
         routers["r1"].report_leaving("a")
         self.assertLessEqual(self.seconds_until_known(fleet, routers, "a"), SPREAD_SECONDS)
 
-    def test_links_alone_reach_nearly_all_and_each_passes_on_once(self) -> None:
+    def test_direct_messages_reach_nearly_all_and_each_router_forwards_once(self) -> None:
         fleet, routers = self.start(60)
         routers["r1"].report_leaving("a")
         for _ in range(HOPS):
@@ -81,7 +81,7 @@
         self.assertGreater(known, 50)
         self.assertEqual(self.network.sent_messages, NEIGHBOURS * known)
 
-    def test_a_router_that_starts_later_learns_it(self) -> None:
+    def test_a_router_that_starts_later_learns_of_leaving_targets(self) -> None:
         fleet, routers = self.start(5)
         routers["r1"].report_leaving("a")
         fleet.run(SPREAD_SECONDS)
--- a/tests/test_loomyard_router/test_targets/test_leaving_path.py
+++ b/tests/test_loomyard_router/test_targets/test_leaving_path.py
@@ -1,4 +1,4 @@
-"""Tests of leaving and loading targets on the whole path."""
+"""End-to-end tests of targets that leave."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         answer = client.completions.create(model="assistant", prompt="hi", max_tokens=1)
         return answer.choices[0].text
 
-    def test_a_refusal_is_learned_and_costs_no_caller_an_answer(self) -> None:
+    def test_a_leaving_refusal_is_retried_elsewhere_and_stops_new_work(self) -> None:
         targets = self.fleet.routers[0].parts.targets
         self.fleet.engines[0].leaving = True
         answers = [self.complete() for _ in range(12)]
@@ -30,7 +30,7 @@
         self.assertFalse(targets.may_send("engine-0"))
         self.assertEqual(self.fleet.engines[0].opened, [])
 
-    def test_a_load_report_is_enough(self) -> None:
+    def test_a_leaving_load_report_stops_new_work(self) -> None:
         targets = self.fleet.routers[0].parts.targets
         self.fleet.engines[1].leaving = True
         with gevent.Timeout(10):
--- a/tests/test_loomyard_router/test_targets/test_polling.py
+++ b/tests/test_loomyard_router/test_targets/test_polling.py
@@ -1,4 +1,4 @@
-"""Tests that one router polls each target and that the others learn what it found."""
+"""Tests that one router polls each target and sends the results to the others."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from loomyard.objects import Metadata, Service, ServiceType, Target
 from loomyard.routing import Routing
 from loomyard_router.members.membership import Member, SoleMembership
-from loomyard_router.targets.duties import Duties
 from loomyard_router.targets.known_targets import make_known_targets
+from loomyard_router.targets.poll_assignment import PollAssignment
 from loomyard_standins.fake_clock import FakeClock
 from loomyard_standins.memory_engines import MemoryEngines
 from loomyard_standins.memory_gossip import MemoryGossip
@@ -97,7 +97,7 @@
         for count in polls.values():
             self.assertIn(count, range(10, 25))
 
-    def test_others_take_over_from_a_lost_router(self) -> None:
+    def test_other_routers_poll_the_targets_of_a_lost_router(self) -> None:
         for name in ("r0", "r1"):
             self.members[name].set_names("r0", "r1")
         before = self.polls()
@@ -105,7 +105,7 @@
         grown = [count - before[name] for name, count in self.polls().items() if name != "p"]
         self.assertGreater(min(grown), 4)
 
-    def test_a_target_that_leaves_for_long_gets_no_work_meanwhile(self) -> None:
+    def test_a_leaving_target_gets_no_work_until_it_reports_otherwise(self) -> None:
         engine = self.engines.engines["http://t0"]
         engine.report = evolve(engine.report, leaving=True)
         self.run_for(3)
@@ -118,7 +118,7 @@
         self.run_for(15)
         self.assertTrue(all(router.may_send("t0") for router in self.routers.values()))
 
-    def test_estimates_reach_the_others(self) -> None:
+    def test_slot_estimates_reach_the_other_routers(self) -> None:
         for name in TARGETS:
             engine = self.engines.engines[f"http://{name}"]
             engine.report = evolve(engine.report, running=8)
@@ -127,22 +127,22 @@
             self.assertEqual({r.slots(target) for r in self.routers.values()}, {10})
 
 
-class DutiesTest(unittest.TestCase):
-    def test_differences_come_to_the_same_as_choosing_anew(self) -> None:
+class PollAssignmentTest(unittest.TestCase):
+    def test_incremental_assignment_equals_a_full_one(self) -> None:
         names = {f"router-{number}" for number in range(20)}
         keys = [f"target-{number}" for number in range(100)]
-        stepwise = {name: Duties(name) for name in names}
-        for duties in stepwise.values():
-            duties.set_keys(keys)
+        stepwise = {name: PollAssignment(name) for name in names}
+        for assignment in stepwise.values():
+            assignment.set_keys(keys)
             for count in (5, 20, 12, 3, 18):
-                duties.set_names(sorted(names)[:count])
-            duties.set_names(names)
+                assignment.set_routers(sorted(names)[:count])
+            assignment.set_routers(names)
         for key in keys:
-            owners = [name for name, duties in stepwise.items() if duties.is_mine(key)]
-            fresh = Duties(owners[0])
-            fresh.set_names(names)
+            owners = [name for name, assignment in stepwise.items() if assignment.is_own(key)]
+            fresh = PollAssignment(owners[0])
+            fresh.set_routers(names)
             fresh.set_keys([key])
-            self.assertEqual((len(owners), fresh.is_mine(key)), (1, True))
+            self.assertEqual((len(owners), fresh.is_own(key)), (1, True))
 
 
 if __name__ == "__main__":
--- a/tests/test_loomyard_router/test_targets/test_prefix_index.py
+++ b/tests/test_loomyard_router/test_targets/test_prefix_index.py
@@ -22,23 +22,23 @@
         self.cache = PrefixCache(capacity=2)
 
     def pull(self) -> bool:
-        return self.index.take_events("a", self.cache.events_after(self.index.sequence("a")))
+        return self.index.apply_events("a", self.cache.events_after(self.index.sequence("a")))
 
     def held(self) -> str:
         return "".join(prefix for prefix in "pqrs" if self.index.holds("a", prefix))
 
-    def test_follows_the_engine_without_gaps(self) -> None:
+    def test_events_without_gaps_give_the_cached_prefixes(self) -> None:
         for prefix in "pqr":
             self.cache.touch(prefix)
         self.assertTrue(self.pull())
         self.assertEqual(self.held(), "qr")
 
-    def test_a_gap_forgets_all_but_fresh_sends(self) -> None:
+    def test_a_gap_drops_all_but_recent_entries(self) -> None:
         self.cache.touch("p")
         self.cache.touch("q")
         self.pull()
         self.clock.advance(FRESH_SECONDS + 1)
-        self.index.note("a", "s")
+        self.index.record("a", "s")
         self.cache.lose = 2
         self.cache.touch("r")
         self.cache.touch("p")
@@ -46,7 +46,7 @@
         self.assertEqual(self.held(), "ps")
         self.assertTrue(self.pull())
 
-    def test_a_restarted_engine(self) -> None:
+    def test_a_restart_of_the_event_sequence_counts_as_a_gap(self) -> None:
         for prefix in "pqrp":
             self.cache.touch(prefix)
         self.pull()
@@ -56,9 +56,9 @@
         self.assertFalse(self.pull())
         self.assertEqual(self.held(), "s")
 
-    def test_bounded_and_aging(self) -> None:
+    def test_entries_are_bounded_and_expire(self) -> None:
         for number in range(MAX_ENTRIES_PER_TARGET + 1):
-            self.index.note("a", f"prefix-{number}")
+            self.index.record("a", f"prefix-{number}")
         self.assertFalse(self.index.holds("a", "prefix-0"))
         self.assertTrue(self.index.holds("a", "prefix-1"))
         self.clock.advance(ENTRY_SECONDS)
@@ -69,7 +69,7 @@
     def test_events_out_of_order_count_as_a_gap(self) -> None:
         index = PrefixIndex(FakeClock())
         events = [CacheEvent(sequence=n, prefix="p", stored=True) for n in (1, 3, 2)]
-        self.assertFalse(index.take_events("a", events))
+        self.assertFalse(index.apply_events("a", events))
 
 
 if __name__ == "__main__":
