--- a/packages/loomyard-router/src/loomyard_router/announced/__init__.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/__init__.py
@@ -1,1 +1,1 @@
-"""Targets that announce themselves, and which of them may get new work."""
+"""Targets that announce themselves in the store, and which of them may get new requests."""
--- a/packages/loomyard-router/src/loomyard_router/announced/announced_target.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/announced_target.py
@@ -1,20 +1,20 @@
-"""A target that announced itself."""
+"""The announcement of a target."""
 
 from __future__ import annotations
 
 from attrs import field, frozen
 
-from loomyard_router.announced.target_incarnation import TargetIncarnation, name_life
+from loomyard_router.announced.target_incarnation import TargetIncarnation, make_incarnation
 from loomyard_router.feeds.feed_position import NO_POSITION, FeedPosition
 
 
 @frozen(kw_only=True)
 class AnnouncedTarget:
-    """A target as it announced itself last; ``address`` is ``host:port``.
+    """A target as it last announced itself; ``address`` is ``host:port``.
 
-    ``born`` is when this life of it began, in Unix milliseconds, ``None`` where the target does not
-    say so and its id is new at each start. ``cold_seconds`` is for how long it stays cold from the
-    announcement on, which stands at ``position`` of the feed.
+    ``born`` is the start of this incarnation in Unix milliseconds, ``None`` for targets that do not
+    tell it and have a new id at each start. ``cold_seconds`` is how long the target stays cold
+    after the announcement, whose place in the feed is ``position``.
     """
 
     id: str
@@ -29,5 +29,5 @@
     incarnation: TargetIncarnation = field(init=False, repr=False)
 
     @incarnation.default
-    def _name_life(self) -> TargetIncarnation:
-        return name_life(self.id, self.born)
+    def _make_incarnation(self) -> TargetIncarnation:
+        return make_incarnation(self.id, self.born)
--- a/packages/loomyard-router/src/loomyard_router/announced/cold_targets.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/cold_targets.py
@@ -1,4 +1,4 @@
-"""How much work targets bear that are cold."""
+"""Rate limits of targets after a cold start."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
     from loomyard_router.announced.target_registry import TargetRegistry
     from loomyard_router.routes.table_holder import TableHolder
 
-# The part of what a cold target bears that one keeper of its places gives away. For a moment two
-# routers may keep one target, and a target falls over at well above what it bears, so both together
-# give half more than that at most.
-KEEPER_PART = 0.75
+# The fraction of a cold target's rate limit that one slot owner grants. For a moment two routers
+# may own the slots of one target; together they then exceed the limit by half at most, which a
+# target withstands.
+OWNER_FRACTION = 0.75
 UNLIMITED = 0.0
 
 
 class ColdTargets:
-    """Tell how many requests a second a target may get from the whole fleet.
+    """Limits the requests per second that cold targets get from the whole fleet.
 
-    A target says itself for how long it is cold. One of a data centre that was just taken back may
-    have turned cold meanwhile and be heard of that later than of the order's end, so it counts as
-    cold for as long as its service takes to get warm.
+    A target announces for how long it is cold. Targets in a data centre that was just reinstated
+    may have become cold meanwhile without that announcement having arrived, so they count as cold
+    for the warm-up time of their service.
     """
 
     def __init__(self, clock: Clock, registry: TargetRegistry, holder: TableHolder) -> None:
@@ -31,7 +31,7 @@
         self._holder = holder
 
     def rate_limit(self, target: AnnouncedTarget) -> float:
-        """Return the requests a second that one keeper may give, ``WARM`` where nothing bounds."""
+        """Return the requests per second that one slot owner may grant, or ``UNLIMITED``."""
         table = self._holder.table
         terms = None if table is None else table.services.get(target.service)
         if terms is None or terms.cold_per_second <= 0.0:
@@ -40,8 +40,8 @@
             self._registry.cold_until(target),
             self._registry.reinstated_at(target.data_centre) + terms.cold_seconds,
         )
-        return KEEPER_PART * terms.cold_per_second if self._clock.now() < until else UNLIMITED
+        return OWNER_FRACTION * terms.cold_per_second if self._clock.now() < until else UNLIMITED
 
     def count(self) -> int:
-        """Return how many targets are cold."""
+        """Return how many listed targets are cold."""
         return sum(self.rate_limit(target) != UNLIMITED for target in self._registry.listed())
--- a/packages/loomyard-router/src/loomyard_router/announced/evacuated_data_centres.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/evacuated_data_centres.py
@@ -1,4 +1,4 @@
-"""The data centres that operators have emptied: their targets get no new work."""
+"""The data centres that operators have evacuated: their targets get no new requests."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 class EvacuatedDataCentres:
-    """The taker of records by which operators empty a data centre and take it back.
+    """The consumer of the records by which operators evacuate and reinstate data centres.
 
-    ``find_name`` returns the data centre that a key empties, ``None`` for any other key. The order
-    stands as long as its record does, whatever that holds: work sent to an emptied data centre
-    can't be taken back, work kept from one that is not costs only its part of the capacity.
+    ``find_data_centre`` returns the data centre that a key evacuates, ``None`` for any other key.
+    The order holds while its record exists, whatever the value: requests sent to an evacuated data
+    centre can't be recalled, whereas a needless evacuation costs only capacity.
     """
 
-    def __init__(self, find_name: Callable[[str], str | None]) -> None:
-        self._find_name = find_name
+    def __init__(self, find_data_centre: Callable[[str], str | None]) -> None:
+        self._find_data_centre = find_data_centre
         self._positions: dict[str, FeedPosition] = {}
         self._listeners: list[Callable[[frozenset[str]], None]] = []
 
@@ -35,14 +35,14 @@
         return frozenset(self._positions)
 
     def subscribe(self, changed: Callable[[frozenset[str]], None]) -> None:
-        """Call back with all emptied data centres after each change."""
+        """Call back with all evacuated data centres after each change."""
         self._listeners.append(changed)
 
     def apply_listing(self, records: list[KeyedRecord], source: str) -> None:
-        self._replace(self._follow({}, records))
+        self._replace(self._apply({}, records))
 
     def apply_records(self, records: list[KeyedRecord], source: str = STORE) -> None:
-        self._replace(self._follow(self._positions, records))
+        self._replace(self._apply(self._positions, records))
 
     def on_store_lost(self) -> None:
         pass
@@ -50,13 +50,13 @@
     def on_store_recovered(self) -> None:
         pass
 
-    def _follow(
+    def _apply(
         self, before: dict[str, FeedPosition], records: list[KeyedRecord]
     ) -> dict[str, FeedPosition]:
-        """Return the orders that stand after some records, with their positions."""
+        """Return the feed positions of the orders in force after some records."""
         positions = dict(before)
         for record in records:
-            name = self._find_name(record.key)
+            name = self._find_data_centre(record.key)
             if name is not None and record.value is None:
                 positions.pop(name, None)
             elif name is not None:
@@ -66,13 +66,13 @@
     def _replace(self, positions: dict[str, FeedPosition]) -> None:
         before, self._positions = self._positions, positions
         for name in positions.keys() - before.keys():
-            _tell(Event.DATA_CENTRE_EMPTIED, name, positions[name])
+            _log_change(Event.DATA_CENTRE_EMPTIED, name, positions[name])
         for name in before.keys() - positions.keys():
-            _tell(Event.DATA_CENTRE_TAKEN_BACK, name, before[name])
+            _log_change(Event.DATA_CENTRE_TAKEN_BACK, name, before[name])
         if before.keys() != positions.keys():
             for changed in self._listeners:
                 changed(self.names)
 
 
-def _tell(event: Event, name: str, position: FeedPosition) -> None:
+def _log_change(event: Event, name: str, position: FeedPosition) -> None:
     emit(logger, event, data_centre=name, era=position.era, offset=position.offset)
--- a/packages/loomyard-router/src/loomyard_router/announced/leaving_exchange.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/leaving_exchange.py
@@ -1,4 +1,4 @@
-"""Tell other routers which targets said that they leave."""
+"""Gossip of the targets that told a router that they leave."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
     from loomyard_router.members.membership import Membership
 
 TOPIC = "leaving"
-LEAVES = 1
-# Longer than a target that leaves goes on serving; few enough items at once where all are replaced.
-TOLD_SECONDS = 120.0
+LEAVING_VALUE = 1
+# Longer than a leaving target goes on serving; short enough to bound the number of gossip items
+# while all targets are replaced.
+GOSSIP_SECONDS = 120.0
 
 
 class LeavingExchange:
-    """Announce leavings that targets told this router, and take in those told to others.
+    """Sends leaving targets that this router learned of to the others, and applies theirs.
 
-    A target tells whoever sends it work. A router that started again, or has sent it nothing since,
-    hears it here, also while the store is away.
+    A target tells only routers that send it requests. Gossip informs the others and those that
+    restart, also during a store outage.
     """
 
     def __init__(self, clock: Clock, registry: TargetRegistry, members: Membership) -> None:
@@ -30,13 +31,13 @@
         self._members = members
 
     def start(self) -> None:
-        """Start to tell and to hear."""
+        """Start to send and receive."""
         self._registry.notices.subscribe(self._announce)
-        self._members.subscribe_topic(TOPIC, self._hear)
+        self._members.subscribe_topic(TOPIC, self._receive)
 
-    def _announce(self, life: TargetIncarnation) -> None:
-        until = self._clock.now() + TOLD_SECONDS
-        self._members.announce(TOPIC, life, LEAVES, until=until)
+    def _announce(self, incarnation: TargetIncarnation) -> None:
+        until = self._clock.now() + GOSSIP_SECONDS
+        self._members.announce(TOPIC, incarnation, LEAVING_VALUE, until=until)
 
-    def _hear(self, life: str, _: int) -> None:
-        self._registry.record_leaving(TargetIncarnation(life))
+    def _receive(self, incarnation: str, _: int) -> None:
+        self._registry.record_leaving(TargetIncarnation(incarnation))
--- a/packages/loomyard-router/src/loomyard_router/announced/order_rollback_policy.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/order_rollback_policy.py
@@ -1,4 +1,4 @@
-"""What is believed of operators' records when the store comes back from an older copy."""
+"""Which operators' records survive a rollback of the store to an older copy."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
     from loomyard_router.feeds.keyed_record import KeyedRecord
 
-# How long an operator's order or configuration stands that is not written again. Whoever wrote it
-# hears of the loss from the store and writes again within seconds; a data centre that stays emptied
-# for so long costs its part of the capacity, work that is sent there can't be taken back.
-ORDER_SECONDS = 10.0
-# How long a data centre stays taken back though the copy says that it is emptied. Where that was
-# ordered anew it must be heeded within five seconds, the bound of users on an order.
-TAKEN_BACK_SECONDS = 3.0
+# For how long an evacuation order or configuration holds that is not written again. The store tells
+# its author of the loss, who writes again within seconds. Evacuating for too long costs only
+# capacity, whereas requests sent to an evacuated data centre can't be recalled.
+ORDER_RETENTION_SECONDS = 10.0
+# For how long a data centre stays reinstated although a stale record evacuates it. The record may
+# have been written anew, and an order must take effect within five seconds.
+REINSTATED_RETENTION_SECONDS = 3.0
 
 
 class OrderRollbackPolicy:
-    """The policy for configurations and for orders that empty data centres.
+    """The ``RollbackPolicy`` of configurations and evacuation orders.
 
-    A configuration stands until one is written, whichever version: an older one never replaces one
-    that is in force. An order stands, also against the word that it was taken back, since lost
-    records may be written again in another order. What was taken back stays so against the copy.
+    A configuration holds until one is written, whatever its version; a stale one never replaces it.
+    An order holds even against a new deletion, since lost records may be written again in another
+    sequence. A reinstated data centre stays so against stale orders.
     """
 
-    def __init__(self, find_name: Callable[[str], str | None]) -> None:
-        self._find_name = find_name
+    def __init__(self, find_data_centre: Callable[[str], str | None]) -> None:
+        self._find_data_centre = find_data_centre
 
     def retains(self, known: KeyedRecord, stored: KeyedRecord | None, *, stale: bool) -> bool:
         if known.value is None:
             return stored is not None and stored.value is not None and stale
-        if self._find_name(known.key) is None:
+        if self._find_data_centre(known.key) is None:
             return stale
         return stored is None or stored.value is None
 
     def retention_seconds(self, known: KeyedRecord) -> float:
-        return TAKEN_BACK_SECONDS if known.value is None else ORDER_SECONDS
+        return REINSTATED_RETENTION_SECONDS if known.value is None else ORDER_RETENTION_SECONDS
--- a/packages/loomyard-router/src/loomyard_router/announced/target_feed.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_feed.py
@@ -1,4 +1,4 @@
-"""Keep the target board after a feed of announcements."""
+"""Updates of the target registry from the feed of announcements."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 
 class TargetFeed:
-    """The taker of records that announce targets.
+    """The consumer of the records that announce targets.
 
-    An entry that can't be read names no target to use, also where an earlier one did.
+    An unreadable entry withdraws its target, even if an earlier entry of the key was readable.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
 
     def apply_listing(self, records: list[KeyedRecord], source: str) -> None:
         targets, withdrawn = self._decode_all(records)
-        # First, so that they don't seem to have lapsed with the rest of their service.
+        # First, so that they don't count towards a mass loss of their service's entries.
         self._registry.withdraw(withdrawn)
         self._registry.replace_all(targets, by_peer=source == PEER)
 
@@ -58,7 +58,7 @@
         self._registry.note_store_back()
 
     def _decode_all(self, records: list[KeyedRecord]) -> tuple[list[AnnouncedTarget], list[str]]:
-        """Return the targets that are announced, and the keys whose entries can't be read."""
+        """Return the decoded targets and the keys of unreadable entries."""
         targets, unreadable = [], []
         for record in records:
             if record.value is None:
--- a/packages/loomyard-router/src/loomyard_router/announced/target_incarnation.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_incarnation.py
@@ -1,14 +1,14 @@
-"""The name of one life of a target."""
+"""The identity of one start of a target."""
 
 from __future__ import annotations
 
 from typing import NewType
 
-# A target may start again under its id. What is known of one life says nothing of the next, so
-# whatever is kept about a target is kept under the name of its life.
+# A target may restart under its id. State of one incarnation says nothing about the next, so all
+# state about targets is keyed by incarnation.
 TargetIncarnation = NewType("TargetIncarnation", str)
 
 
-def name_life(id_: str, born: int | None) -> TargetIncarnation:
-    """Name the life of a target that began at ``born``, in Unix milliseconds where it is told."""
+def make_incarnation(id_: str, born: int | None) -> TargetIncarnation:
+    """Return ``ID@BORN``, or the id where ``born`` (Unix milliseconds) is ``None``."""
     return TargetIncarnation(id_ if born is None else f"{id_}@{born}")
--- a/packages/loomyard-router/src/loomyard_router/announced/target_metrics.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_metrics.py
@@ -1,4 +1,4 @@
-"""What operators see of targets, of what is said of them and of what ends them."""
+"""Metrics of announced targets, evacuations and poison requests."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @frozen(kw_only=True)
 class TargetMetrics:
-    """Reads for metrics: states as they are, and counts since the start.
+    """Callables read when metrics are scraped: current states, and counts since the start.
 
-    ``suspected`` and ``blocked`` are requests under which targets ended: all of them, and those
-    that are refused for it.
+    ``suspected`` counts the requests under which targets crashed, ``blocked`` those of them that
+    are refused for it.
     """
 
     evacuated: Callable[[], int] = lambda: 0
--- a/packages/loomyard-router/src/loomyard_router/announced/target_notice.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_notice.py
@@ -1,4 +1,4 @@
-"""What a target says of itself in an answer."""
+"""The notice about itself that a target sends with an answer."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @frozen(kw_only=True)
 class TargetNotice:
-    """That a target leaves, and for how many seconds it wants nothing from this router."""
+    """Whether a target leaves, and for how many seconds this router should back off from it."""
 
     leaving: bool = False
     backoff_seconds: float = 0.0
--- a/packages/loomyard-router/src/loomyard_router/announced/target_notices.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_notices.py
@@ -1,4 +1,4 @@
-"""Keep what targets say of themselves in their answers."""
+"""State from the notices that targets send with their answers."""
 
 from __future__ import annotations
 
@@ -19,67 +19,69 @@
 
 logger = logging.getLogger(__name__)
 
-# Lives that left, remembered until as many others did. No life returns, so only room bounds this.
-MOST_LEAVING = 4096
+# Leaving incarnations remembered. None of them returns, so only memory bounds this.
+MAX_LEAVING = 4096
 
 
 class TargetNotices:
-    """Which targets said that they leave, and until when others asked this router for rest.
+    """Which targets said that they leave, and until when others asked this router to back off.
 
-    A target's own word needs no store to arrive, so neither an outage nor what the store lists or
-    forgets meanwhile takes it back. It counts for the life that said it. Rest is asked of one
-    router; a leaving concerns all of them.
+    Notices come from the target itself and not by the store, so neither a store outage nor its
+    listings revoke them. They apply to one incarnation. A back-off binds the router that was asked,
+    leaving concerns all routers.
     """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._leaving: OrderedDict[TargetIncarnation, None] = OrderedDict()
-        self._resting = TargetBackoffs(clock)
-        self._told: list[Callable[[TargetIncarnation], None]] = []
+        self._backoffs = TargetBackoffs(clock)
+        self._listeners: list[Callable[[TargetIncarnation], None]] = []
         self.leaving_count = 0
         self.backoff_requests = 0
 
     @property
     def backing_off(self) -> int:
-        """Return how many targets this router leaves alone, as they asked."""
-        return len(self._resting.names)
+        """Return from how many targets this router backs off now."""
+        return len(self._backoffs.names)
 
-    def subscribe(self, told: Callable[[TargetIncarnation], None]) -> None:
-        """Call back with each life that told this router that it leaves; it must not wait."""
-        self._told.append(told)
+    def subscribe(self, left: Callable[[TargetIncarnation], None]) -> None:
+        """Call back with each incarnation that told this router it leaves; must not block."""
+        self._listeners.append(left)
 
-    def is_leaving(self, life: TargetIncarnation) -> bool:
-        """Tell whether a life said that it leaves."""
-        return life in self._leaving
+    def is_leaving(self, incarnation: TargetIncarnation) -> bool:
+        """Return whether an incarnation said that it leaves."""
+        return incarnation in self._leaving
 
-    def backoff_until(self, life: TargetIncarnation) -> float:
-        """Return until when a life asked to be left alone; it may have passed."""
-        return self._resting.until(life)
+    def backoff_until(self, incarnation: TargetIncarnation) -> float:
+        """Return the end of the back-off that an incarnation asked for; it may have passed."""
+        return self._backoffs.until(incarnation)
 
     def apply(self, target: AnnouncedTarget, notice: TargetNotice) -> bool:
-        """Take in what a target said; tell whether that changes who may get work."""
-        left = notice.leaving and self.note_leaving(target.incarnation)
-        if left:
+        """Apply the notice of a target; return whether that changes which targets are usable."""
+        leaves = notice.leaving and self.record_leaving(target.incarnation)
+        if leaves:
             self.leaving_count += 1
             emit(logger, Event.TARGET_SAYS_LEAVING, target=target.id, service=target.service)
-            for told in self._told:
-                told(target.incarnation)
-        rests = notice.backoff_seconds > 0.0 and self._note_rest(target, notice.backoff_seconds)
-        return left or rests
-
-    def note_leaving(self, life: TargetIncarnation) -> bool:
-        """Take in that a life leaves; tell whether that is new."""
-        if life in self._leaving:
+            for left in self._listeners:
+                left(target.incarnation)
+        backs_off = notice.backoff_seconds > 0.0 and self._record_backoff(
+            target, notice.backoff_seconds
+        )
+        return leaves or backs_off
+
+    def record_leaving(self, incarnation: TargetIncarnation) -> bool:
+        """Record that an incarnation leaves; return whether that is new."""
+        if incarnation in self._leaving:
             return False
-        self._leaving[life] = None
-        if len(self._leaving) > MOST_LEAVING:
+        self._leaving[incarnation] = None
+        if len(self._leaving) > MAX_LEAVING:
             self._leaving.popitem(last=False)
         return True
 
-    def _note_rest(self, target: AnnouncedTarget, seconds: float) -> bool:
-        self._resting.expire()
+    def _record_backoff(self, target: AnnouncedTarget, seconds: float) -> bool:
+        self._backoffs.expire()
         self.backoff_requests += 1
-        if not self._resting.record(target.incarnation, self._clock.now() + seconds):
+        if not self._backoffs.record(target.incarnation, self._clock.now() + seconds):
             return False
         emit(
             logger,
--- a/packages/loomyard-router/src/loomyard_router/announced/target_registry.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_registry.py
@@ -1,4 +1,4 @@
-"""Which targets may get new work."""
+"""The announced targets by service, and which of them may get new requests."""
 
 from __future__ import annotations
 
@@ -21,29 +21,32 @@
 
 logger = logging.getLogger(__name__)
 
-# Entries that lapsed while the store was away come back within two seconds of its return.
+# Targets whose entries expired during a store outage write them again within two seconds after it.
 RETURN_SECONDS = 2.0
-# As many entries that vanish together did not leave by themselves.
-MASS_SHARE = 0.5
-MASS_LEAST = 2
-MASS_WINDOW = 0.5
+# When at least this fraction and number of a service's entries vanish within the window (s), the
+# store is presumed to have lost them: the targets would not leave all at once.
+MASS_LOSS_FRACTION = 0.5
+MASS_LOSS_MIN = 2
+MASS_LOSS_WINDOW = 0.5
 
 
 @define(eq=False)
 class _Lapsed:
+    """A target whose entry vanished; usable until the grace ends, which may be at once."""
+
     target: AnnouncedTarget
     vanished_at: float
     usable_until: float
 
 
 class TargetRegistry:
-    """The targets of each service, after what the feed says and when it could say it.
+    """The targets of each service by their entries in the feed and by their own notices.
 
-    Who drains, vanishes or stands in an emptied data centre gets no new work, also where nobody
-    else is left: a request is refused then, since it did not run. Nor does who said in an answer
-    that it leaves, or asked for rest: the store may hear of that late, or never. Who vanished while
-    the store was away, or together with half of its service, is used until the time by which it had
-    to come back.
+    A target gets no new requests while it drains, is in an evacuated data centre, said in an answer
+    that it leaves or asked to back off (the store may learn of that late or never), even if no
+    other target is left: a request that did not run is safe to refuse. Nor does one whose entry
+    vanished, but entries that vanish in a store outage, or half of a service together, have a grace
+    in which they may be written again.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -51,68 +54,75 @@
         self._targets: dict[str, AnnouncedTarget] = {}
         self._lapsed: dict[str, _Lapsed] = {}
         self._usable: dict[str, tuple[AnnouncedTarget, ...]] = {}
-        self._usable_lives: frozenset[TargetIncarnation] = frozenset()
-        self._open_lives: frozenset[TargetIncarnation] = frozenset()
-        self._by_life: dict[TargetIncarnation, AnnouncedTarget] = {}
+        self._usable_incarnations: frozenset[TargetIncarnation] = frozenset()
+        self._open_incarnations: frozenset[TargetIncarnation] = frozenset()
+        self._by_incarnation: dict[TargetIncarnation, AnnouncedTarget] = {}
         self._listeners: list[Callable[[], None]] = []
-        self._emptied: frozenset[str] = frozenset()
-        self._taken_back_at: dict[str, float] = {}
+        self._evacuated: frozenset[str] = frozenset()
+        self._reinstated_at: dict[str, float] = {}
         self._cold_until: dict[str, float] = {}
         self.restarts = 0
         self.notices = TargetNotices(clock)
-        self._heard = False
-        self._store_away = False
+        self._was_listed = False
+        self._store_down = False
         self._store_back_at = clock.now() - RETURN_SECONDS
         self._next_check = 0.0
 
     @property
     def ready(self) -> bool:
-        """Tell whether the targets were listed once."""
-        return self._heard
+        """Return whether a complete listing has been received."""
+        return self._was_listed
 
     def subscribe(self, changed: Callable[[], None]) -> None:
-        """Call back after each change; the call must not wait."""
+        """Call back after each change; the callback must not block."""
         self._listeners.append(changed)
 
     def usable(self, service: str) -> tuple[AnnouncedTarget, ...]:
-        """Return the targets of a service that may get new work."""
+        """Return the targets of a service that may get new requests, sorted by id."""
         if self._next_check and self._clock.now() >= self._next_check:
             self._refresh()
         return self._usable.get(service, ())
 
     def is_usable(self, target: AnnouncedTarget) -> bool:
-        """Tell whether a target may still get new work."""
+        """Return whether this router may send new requests to this incarnation of a target."""
         self.usable(target.service)
-        return target.incarnation in self._usable_lives
+        return target.incarnation in self._usable_incarnations
+
+    def is_withdrawn(self, incarnation: TargetIncarnation) -> bool:
+        """Return whether no router may send an incarnation new requests.
 
-    def is_withdrawn(self, life: TargetIncarnation) -> bool:
-        """Tell whether no router may send a life new work; one that rests here may serve others."""
-        return life in self._by_life and life not in self._open_lives
+        A back-off does not count, as it binds this router alone.
+        """
+        return incarnation in self._by_incarnation and incarnation not in self._open_incarnations
 
     def is_backing_off(self, target: AnnouncedTarget) -> bool:
-        """Tell whether a target asked this router to leave it alone for now."""
+        """Return whether a target asked this router to back off and the time has not passed."""
         return self.notices.backoff_until(target.incarnation) > self._clock.now()
 
     def cold_until(self, target: AnnouncedTarget) -> float:
-        """Return when a target gets warm after its own word; it may have passed."""
+        """Return the end of a target's cold start as announced; it may have passed."""
         return self._cold_until.get(target.id, -math.inf)
 
     def reinstated_at(self, data_centre: str) -> float:
-        """Return when a data centre that had been emptied was last taken back."""
-        return self._taken_back_at.get(data_centre, -math.inf)
+        """Return when an evacuated data centre was last reinstated, minus infinity for never."""
+        return self._reinstated_at.get(data_centre, -math.inf)
 
-    def find(self, life: TargetIncarnation) -> AnnouncedTarget | None:
-        """Return the target that is known under the name of a life."""
-        return self._by_life.get(life)
+    def find(self, incarnation: TargetIncarnation) -> AnnouncedTarget | None:
+        """Return the listed target with an incarnation."""
+        return self._by_incarnation.get(incarnation)
 
     def listed(self) -> list[AnnouncedTarget]:
-        """Return all targets that are listed, or were until just now."""
+        """Return all targets that are listed, or whose entries vanished a moment ago."""
         return [*self._targets.values(), *(lapsed.target for lapsed in self._lapsed.values())]
 
     def replace_all(self, targets: Iterable[AnnouncedTarget], *, by_peer: bool = False) -> None:
-        """Take over a whole listing; one of another router comes from a store that answers it."""
+        """Apply a complete listing.
+
+        ``by_peer`` says that another router fetched it from a store that answers there, so entries
+        it lacks are gone even while the store does not answer this router.
+        """
         listed = {target.id: target for target in targets}
-        self._heard = True
+        self._was_listed = True
         gone = [target for id_, target in self._targets.items() if id_ not in listed]
         for target in listed.values():
             self._put(target)
@@ -120,17 +130,17 @@
         self._changed()
 
     def apply(
-        self, put: Iterable[AnnouncedTarget], dropped: Iterable[str], *, by_peer: bool = False
+        self, targets: Iterable[AnnouncedTarget], dropped: Iterable[str], *, by_peer: bool = False
     ) -> None:
-        """Take changes over; those of another router come from a store that answers it."""
-        for target in put:
+        """Apply written entries and the ids of deleted ones; ``by_peer`` as for a listing."""
+        for target in targets:
             self._put(target)
         gone = [self._targets[id_] for id_ in dropped if id_ in self._targets]
         self._drop(gone, by_peer=by_peer)
         self._changed()
 
     def withdraw(self, ids: Iterable[str]) -> None:
-        """Use targets no more of which nothing that can be read stands in the store."""
+        """Remove targets without grace because their entries in the store are unreadable."""
         withdrawn = [id_ for id_ in ids if id_ in self._targets or id_ in self._lapsed]
         for id_ in withdrawn:
             self._lapsed.pop(id_, None)
@@ -142,30 +152,30 @@
             self._changed()
 
     def apply_notice(self, target: AnnouncedTarget, notice: TargetNotice) -> None:
-        """Take in what a target says of itself in an answer."""
+        """Apply what a target says of itself in an answer."""
         if self.notices.apply(target, notice):
             self._changed()
 
-    def record_leaving(self, life: TargetIncarnation) -> None:
-        """Take in that a target told another router that it leaves."""
-        if self.notices.note_leaving(life):
+    def record_leaving(self, incarnation: TargetIncarnation) -> None:
+        """Record that an incarnation told another router that it leaves."""
+        if self.notices.record_leaving(incarnation):
             self._changed()
 
     def set_evacuated(self, data_centres: frozenset[str]) -> None:
-        """Take in which data centres get no new work."""
+        """Replace the set of data centres that get no new requests."""
         now = self._clock.now()
-        for data_centre in self._emptied - data_centres:
-            self._taken_back_at[data_centre] = now
-        self._emptied = data_centres
+        for data_centre in self._evacuated - data_centres:
+            self._reinstated_at[data_centre] = now
+        self._evacuated = data_centres
         self._changed()
 
     def note_store_lost(self) -> None:
-        """Take in that the store does not answer."""
-        self._store_away = True
+        """Record that the store does not answer this router."""
+        self._store_down = True
 
     def note_store_back(self) -> None:
-        """Take in that the store answers again."""
-        self._store_away = False
+        """Record that the store answers again; targets in grace have ``RETURN_SECONDS`` left."""
+        self._store_down = False
         now = self._clock.now()
         self._store_back_at = now
         for lapsed in self._lapsed.values():
@@ -177,7 +187,7 @@
         known = self._targets.get(target.id)
         lapsed = self._lapsed.get(target.id)
         before = known if lapsed is None else lapsed.target
-        if before is not None and _is_old_news(target, before):
+        if before is not None and _is_earlier_incarnation(target, before):
             emit(logger, Event.OLD_LIFE_IGNORED, target=target.id, life=target.incarnation)
             return
         self._lapsed.pop(target.id, None)
@@ -212,7 +222,7 @@
             del self._targets[target.id]
             self._lapsed[target.id] = _Lapsed(target, now, now)
         for service in {target.service for target in gone}:
-            self._grant_returns(service, now, by_peer=by_peer)
+            self._grant_grace(service, now, by_peer=by_peer)
         for target in gone:
             emit(
                 logger,
@@ -222,19 +232,21 @@
                 used_on=self._lapsed[target.id].usable_until > now,
             )
 
-    def _grant_returns(self, service: str, now: float, *, by_peer: bool) -> None:
-        """Give those that may have lapsed by a fault of the store the time to come back."""
+    def _grant_grace(self, service: str, now: float, *, by_peer: bool) -> None:
+        """Keep targets usable whose entries the store may have lost until they can be rewritten."""
         recent = [
             lapsed
             for lapsed in self._lapsed.values()
             if lapsed.target.service == service
             and not lapsed.target.draining
-            and now - lapsed.vanished_at <= MASS_WINDOW
+            and now - lapsed.vanished_at <= MASS_LOSS_WINDOW
         ]
         left = sum(target.service == service for target in self._targets.values())
-        together = len(recent) >= MASS_LEAST and len(recent) >= MASS_SHARE * (len(recent) + left)
-        if self._store_away and not by_peer:
-            until = math.inf  # until the store is back and the time to return has passed
+        together = len(recent) >= MASS_LOSS_MIN and len(recent) >= MASS_LOSS_FRACTION * (
+            len(recent) + left
+        )
+        if self._store_down and not by_peer:
+            until = math.inf  # bounded by ``note_store_back``
         elif now - self._store_back_at < RETURN_SECONDS:
             until = self._store_back_at + RETURN_SECONDS
         elif together:
@@ -252,7 +264,7 @@
     def _refresh(self) -> None:
         now = self._clock.now()
         for id_, lapsed in list(self._lapsed.items()):
-            over = lapsed.usable_until <= now and not self._store_away
+            over = lapsed.usable_until <= now and not self._store_down
             if over and now - lapsed.vanished_at > RETURN_SECONDS:
                 del self._lapsed[id_]
                 self._cold_until.pop(id_, None)
@@ -263,27 +275,27 @@
             if lapsed.usable_until > now:
                 candidates.append(lapsed.target)
                 waits.append(lapsed.usable_until)
-        candidates = [target for target in candidates if not self._is_barred(target)]
+        candidates = [target for target in candidates if not self._is_excluded(target)]
         for target in candidates:
             if self.is_backing_off(target):
                 waits.append(self.notices.backoff_until(target.incarnation))
             else:
                 usable.setdefault(target.service, []).append(target)
         self._next_check = min(waits, default=0.0)
-        self._by_life = {target.incarnation: target for target in self.listed()}
+        self._by_incarnation = {target.incarnation: target for target in self.listed()}
         self._usable = {
             service: tuple(sorted(targets, key=lambda target: target.id))
             for service, targets in usable.items()
         }
-        self._open_lives = frozenset(target.incarnation for target in candidates)
-        self._usable_lives = frozenset(
+        self._open_incarnations = frozenset(target.incarnation for target in candidates)
+        self._usable_incarnations = frozenset(
             target.incarnation for one in usable.values() for target in one
         )
 
-    def _is_barred(self, target: AnnouncedTarget) -> bool:
-        return target.data_centre in self._emptied or self.notices.is_leaving(target.incarnation)
+    def _is_excluded(self, target: AnnouncedTarget) -> bool:
+        return target.data_centre in self._evacuated or self.notices.is_leaving(target.incarnation)
 
 
-def _is_old_news(target: AnnouncedTarget, known: AnnouncedTarget) -> bool:
-    """Tell whether an announcement is of an earlier life than the known one."""
+def _is_earlier_incarnation(target: AnnouncedTarget, known: AnnouncedTarget) -> bool:
+    """Return whether an announcement is of an earlier incarnation than the known one."""
     return target.born is not None and known.born is not None and target.born < known.born
--- a/packages/loomyard-router/src/loomyard_router/announced/target_rollback_policy.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_rollback_policy.py
@@ -1,4 +1,4 @@
-"""What is believed of targets when the store comes back from an older copy."""
+"""Which target announcements survive a rollback of the store to an older copy."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
     from loomyard_router.feeds.keyed_record import KeyedRecord
     from loomyard_router.feeds.unreadable_entry import UnreadableEntry
 
-# Targets announce themselves anew within two seconds of the store's return, the users say; one
-# second more is for the way to here.
-ANNOUNCED_SECONDS = 3.0
+# Targets are specified to announce themselves again within two seconds after the store returns;
+# one more second is for the feed.
+RETENTION_SECONDS = 3.0
 
 
 class TargetRollbackPolicy:
-    """The policy for announcements.
+    """The ``RollbackPolicy`` of announcements.
 
-    A target that the copy lacks stays in use while it answers. One that leaves goes on leaving,
-    whatever the copy or a record written again says of the same life. One that ended does not
-    return by the copy.
+    A target that the store lacks stays in use for the retention time. A draining one stays so
+    whatever a stale or rewritten record says of the same incarnation. One whose entry was deleted
+    does not return by a stale record.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
             return True
         if stored.value is None:
             return False
-        before, after = self._read(known), self._read(stored)
+        before, after = self._decode_record(known), self._decode_record(stored)
         if before is None or after is None or before.incarnation != after.incarnation:
             return stale
         if before.draining != after.draining:
@@ -48,9 +48,9 @@
         return stale
 
     def retention_seconds(self, known: KeyedRecord) -> float:
-        return ANNOUNCED_SECONDS
+        return RETENTION_SECONDS
 
-    def _read(self, record: KeyedRecord) -> AnnouncedTarget | None:
+    def _decode_record(self, record: KeyedRecord) -> AnnouncedTarget | None:
         if record.value is None:
             return None
         match self._decode(record.key, record.value):
--- a/tests/test_loomyard_router/test_announced/test_emptied_data_centres.py
+++ b/tests/test_loomyard_router/test_announced/test_evacuated_data_centres.py
@@ -1,4 +1,4 @@
-"""Tests of data centres that operators empty: who stops sending there, and how soon."""
+"""Tests that no router sends requests to an evacuated data centre, also after outages."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from test_loomyard_router.test_routed.scripted_target import plain_script
 
 KEY = "evacuate/north"
-# Users hold a router to an order from 5 s after its acknowledgement on, and from 3 s after the
-# return of the store; what was decided just before is sent within the second left.
+# Users require that an order takes effect within 5 s of its acknowledgement and within 3 s of the
+# return of the store. Less than that, since requests decided just before are still sent then.
 BOUND = 2.5
 
 
@@ -25,7 +25,7 @@
     return KeyedRecord(key=key, value=value, offset=offset)
 
 
-class EmptiedDataCentresTest(unittest.TestCase):
+class EvacuatedDataCentresTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = FakeClock()
         self.registry = TargetRegistry(self.clock)
@@ -34,54 +34,54 @@
             for name in ("north", "south")
         ]
         self.registry.replace_all(self.targets)
-        self.emptied = EvacuatedDataCentres(find_emptied_data_centre)
-        self.emptied.subscribe(self.registry.set_evacuated)
+        self.evacuated = EvacuatedDataCentres(find_emptied_data_centre)
+        self.evacuated.subscribe(self.registry.set_evacuated)
 
     def usable(self) -> list[str]:
         return [target.id for target in self.registry.usable("s")]
 
-    def test_an_order_stands_until_its_record_goes_whatever_it_holds(self) -> None:
+    def test_an_order_holds_until_its_record_is_deleted_whatever_its_value(self) -> None:
         for value in (b"{}", b"", b"null", b"[[[", b"\xff"):
             with self.subTest(value=value):
-                self.emptied.apply_records([record(1, value=value or b"0")])
+                self.evacuated.apply_records([record(1, value=value or b"0")])
                 self.assertEqual(["t-south"], self.usable())
-                self.emptied.apply_records([record(2, value=None)])
+                self.evacuated.apply_records([record(2, value=None)])
                 self.assertEqual(2, len(self.usable()))
 
-    def test_the_last_of_several_orders_of_one_read_counts(self) -> None:
-        self.emptied.apply_records([record(1), record(2, value=None), record(3)])
+    def test_the_last_of_several_records_of_one_read_counts(self) -> None:
+        self.evacuated.apply_records([record(1), record(2, value=None), record(3)])
         self.assertEqual(["t-south"], self.usable())
-        self.emptied.apply_records([record(4, value=None), record(5), record(6, value=None)])
+        self.evacuated.apply_records([record(4, value=None), record(5), record(6, value=None)])
         self.assertEqual(2, len(self.usable()))
 
-    def test_a_listing_without_the_order_takes_the_data_centre_back(self) -> None:
-        self.emptied.apply_listing([record(1)], "store")
-        self.emptied.apply_records([record(2, key="config", value=b"x")])
+    def test_a_listing_without_the_order_reinstates_the_data_centre(self) -> None:
+        self.evacuated.apply_listing([record(1)], "store")
+        self.evacuated.apply_records([record(2, key="config", value=b"x")])
         self.assertEqual(["t-south"], self.usable())
-        self.emptied.apply_listing([record(2, key="config", value=b"x")], "peer")
+        self.evacuated.apply_listing([record(2, key="config", value=b"x")], "peer")
         self.assertEqual(2, len(self.usable()))
 
-    def test_a_place_that_was_granted_before_is_not_used(self) -> None:
+    def test_a_target_for_which_a_slot_was_granted_before_is_not_usable(self) -> None:
         self.assertTrue(self.registry.is_usable(self.targets[0]))
-        self.emptied.apply_records([record(1)])
+        self.evacuated.apply_records([record(1)])
         self.assertFalse(self.registry.is_usable(self.targets[0]))
 
-    def test_targets_that_lapsed_there_or_start_there_get_nothing(self) -> None:
+    def test_targets_in_grace_and_new_ones_in_the_data_centre_are_not_usable(self) -> None:
         self.registry.note_store_lost()
         self.registry.apply([], ["t-north"])
         self.assertEqual(2, len(self.usable()))
-        self.emptied.apply_records([record(1)])
+        self.evacuated.apply_records([record(1)])
         new = AnnouncedTarget(id="t-new", service="s", address="127.0.0.1:2", data_centre="north")
         self.registry.apply([new], [])
         self.assertEqual(["t-south"], self.usable())
 
-    def test_where_nobody_else_is_left_nobody_gets_work(self) -> None:
-        self.emptied.apply_records([record(1), record(2, key="evacuate/south")])
+    def test_no_target_is_usable_if_all_data_centres_are_evacuated(self) -> None:
+        self.evacuated.apply_records([record(1), record(2, key="evacuate/south")])
         self.assertEqual([], self.usable())
 
 
-class EmptiedRouterTest(RoutedCase):
-    def test_a_request_with_nowhere_to_go_is_refused_and_did_not_run(self) -> None:
+class EvacuatedRouterTest(RoutedCase):
+    def test_a_request_without_a_usable_target_is_refused_unsent(self) -> None:
         target = self.target("t-north", plain_script)
         self.announce(target.announced(data_centre="north"))
         self.tables.put(KEY, b"{}")
@@ -92,10 +92,10 @@
         self.assertEqual(0, len(target.received))
 
 
-class EmptyingInOutagesTest(unittest.TestCase):
-    """Orders stand in the feed of the configuration, so its outages hold them up."""
+class EvacuationInOutagesTest(unittest.TestCase):
+    """Orders come by the configuration feed, so its outages delay them."""
 
-    def test_the_last_router_hears_an_order_in_time(self) -> None:
+    def test_all_routers_receive_an_order_in_time(self) -> None:
         for outage in Outage:
             for without in (3, 7):
                 with self.subTest(outage=outage, without=without):
--- a/tests/test_loomyard_router/test_announced/test_leaving_exchange.py
+++ b/tests/test_loomyard_router/test_announced/test_leaving_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of leavings that one router was told, at others."""
+"""Tests that a target's notice to one router that it leaves reaches the others."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class LeavingExchangeTest(RoutersCase):
-    def test_routers_hear_it_that_sent_the_target_nothing_or_start_later(self) -> None:
+    def test_routers_that_sent_the_target_nothing_or_start_later_learn_that_it_leaves(self) -> None:
         self.target("t1", lambda request, sock: sock.sendall(say_leaving(request)))
         staying = self.target("t2", plain_script)
         self.publish(route())
@@ -24,7 +24,7 @@
             self.call(Loomyard_Attempt_Id=f"{number}")
             number += 1
         self.until(lambda: all(usable(router) == ["t2"] for router in self.routers))
-        # Its entry still says that it takes work.
+        # The entry in the store still says that the target is not draining.
         later = self.start_router("router-later")
         self.until(lambda: usable(later) == ["t2"])
         for router in (*self.routers, later):
@@ -34,7 +34,7 @@
 
 
 def say_leaving(request: Received) -> bytes:
-    """Return an answer that says that the target leaves."""
+    """Return an answer with the notice that the target leaves."""
     return answer(request, extra="Server-Leaving: 1\r\n")
 
 
--- a/tests/test_loomyard_router/test_announced/test_target_lives.py
+++ b/tests/test_loomyard_router/test_announced/test_target_incarnations.py
@@ -1,4 +1,4 @@
-"""Tests of targets that start again under their id."""
+"""Tests that state of one incarnation of a target does not apply to the next."""
 
 from __future__ import annotations
 
@@ -22,43 +22,43 @@
 NEW = evolve(OLD, born=2_000, position=FeedPosition(0, 6))
 
 
-class LivesOnTheBoardTest(unittest.TestCase):
+class IncarnationsInRegistryTest(unittest.TestCase):
     def setUp(self) -> None:
         self.registry = TargetRegistry(FakeClock())
         self.registry.replace_all([OLD])
 
-    def test_a_later_life_replaces_an_earlier_one(self) -> None:
+    def test_a_later_incarnation_replaces_an_earlier_one(self) -> None:
         self.registry.apply([NEW], [])
         self.assertFalse(self.registry.is_usable(OLD))
         self.assertTrue(self.registry.is_usable(NEW))
         self.assertEqual([NEW], self.registry.listed())
         self.assertEqual(1, self.registry.restarts)
 
-    def test_an_earlier_life_after_a_later_one_is_old_news(self) -> None:
+    def test_an_announcement_of_an_earlier_incarnation_is_ignored(self) -> None:
         self.registry.apply([NEW], [])
         self.registry.apply([evolve(OLD, position=FeedPosition(0, 9), draining=True)], [])
         self.assertTrue(self.registry.is_usable(NEW))
         self.registry.replace_all([OLD])
         self.assertEqual([NEW], self.registry.listed())
 
-    def test_old_news_of_one_that_lapsed_does_not_bring_it_back(self) -> None:
+    def test_an_earlier_incarnation_does_not_bring_back_a_target_whose_entry_vanished(self) -> None:
         self.registry.apply([NEW], [])
         self.registry.apply([], ["t"])
         self.registry.apply([OLD], [])
         self.assertEqual((), self.registry.usable("s"))
 
-    def test_of_one_life_the_newest_record_counts(self) -> None:
+    def test_the_newest_record_of_an_incarnation_counts(self) -> None:
         moved = evolve(OLD, address="127.0.0.1:9", position=FeedPosition(0, 7))
         self.registry.apply([moved], [])
         self.assertEqual("127.0.0.1:9", self.registry.usable("s")[0].address)
 
-    def test_targets_that_tell_no_birth_are_told_apart_by_their_id(self) -> None:
+    def test_targets_without_a_start_time_are_distinguished_by_id(self) -> None:
         self.registry.apply([AnnouncedTarget(id="u", service="s", address="127.0.0.1:2")], [])
         self.assertEqual(["t", "u"], [one.id for one in self.registry.usable("s")])
 
 
-class LivesInAdmissionTest(unittest.TestCase):
-    def test_what_a_target_failed_in_an_earlier_life_is_not_held_against_it(self) -> None:
+class IncarnationsInAdmissionTest(unittest.TestCase):
+    def test_failures_of_an_earlier_incarnation_do_not_eject_the_later_one(self) -> None:
         health = EjectionTracker(FakeClock())
         other = AnnouncedTarget(id="o", service="s", address="127.0.0.1:3")
         for _ in range(3):
@@ -66,28 +66,28 @@
         self.assertEqual([other], health.healthy([OLD, other]))
         self.assertEqual([NEW, other], health.healthy([NEW, other]))
 
-    def test_what_runs_in_an_earlier_life_takes_no_place_of_the_later_one(self) -> None:
+    def test_requests_running_at_an_earlier_incarnation_use_no_slots_of_the_later_one(self) -> None:
         loads = TargetLoads(lambda: 100)
         for _ in range(MIN_SLOTS):
             loads.record_start(OLD)
         self.assertFalse(loads.has_free_slot(OLD))
         self.assertTrue(loads.has_free_slot(NEW))
 
-    def test_places_held_in_an_earlier_life_are_free_in_the_later_one(self) -> None:
+    def test_slots_granted_for_an_earlier_incarnation_are_free_in_the_later_one(self) -> None:
         fleet = Fleet(1)
-        for life in (1_000, 2_000):
-            reborn = evolve(fleet.targets[0], born=life, position=FeedPosition(0, life))
+        for born in (1_000, 2_000):
+            restarted = evolve(fleet.targets[0], born=born, position=FeedPosition(0, born))
             for router in fleet.routers:
-                router.registry.apply([reborn], [])
-            taken = [
+                router.registry.apply([restarted], [])
+            permits = [
                 fleet.routers[n % 3].gate.acquire(fleet.request(number=n), frozenset())
                 for n in range(SLOTS)
             ]
-            self.assertTrue(all(one.is_ok() for one in taken))
+            self.assertTrue(all(one.is_ok() for one in permits))
 
 
-class LivesOnTheWireTest(RoutedCase):
-    def test_a_kept_connection_of_an_earlier_life_is_not_used_for_the_later_one(self) -> None:
+class IncarnationsInConnectionPoolTest(RoutedCase):
+    def test_a_pooled_connection_of_an_earlier_incarnation_is_not_reused(self) -> None:
         target = self.target("t", plain_script)
         self.announce(target.announced(born=1_000))
         self.publish(route())
--- a/tests/test_loomyard_router/test_announced/test_target_notices.py
+++ b/tests/test_loomyard_router/test_announced/test_target_notices.py
@@ -1,4 +1,4 @@
-"""Tests of how long what targets say of themselves counts, and for which of their lives."""
+"""Tests of how long notices of targets apply, and to which incarnation."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 TARGET = AnnouncedTarget(
     id="t", service="s", address="127.0.0.1:1", born=1_000, position=FeedPosition(0, 5)
 )
-NEXT_LIFE = evolve(TARGET, born=2_000, position=FeedPosition(0, 9))
+NEXT_INCARNATION = evolve(TARGET, born=2_000, position=FeedPosition(0, 9))
 OTHER = AnnouncedTarget(id="u", service="s", address="127.0.0.1:2")
 LEAVES = TargetNotice(leaving=True)
 
@@ -29,27 +29,27 @@
         self.registry.replace_all([TARGET, OTHER])
 
     def usable(self) -> list[str]:
-        """Return the ids of targets that may get work."""
+        """Return the ids of targets that may get new requests."""
         return [target.id for target in self.registry.usable("s")]
 
-    def rest(self, seconds: float, target: AnnouncedTarget = TARGET) -> None:
-        """Let a target ask for rest."""
+    def back_off(self, seconds: float, target: AnnouncedTarget = TARGET) -> None:
+        """Apply a target's request to back off."""
         self.registry.apply_notice(target, TargetNotice(backoff_seconds=seconds))
 
 
 class LeavingTest(NoticesCase):
-    def test_no_listing_takes_a_leaving_back(self) -> None:
+    def test_no_listing_or_entry_ends_leaving(self) -> None:
         self.registry.apply_notice(TARGET, LEAVES)
         again = evolve(TARGET, position=FeedPosition(0, 7))
         changes = {
-            "listed anew": lambda: self.registry.replace_all([TARGET, OTHER]),
+            "listed again": lambda: self.registry.replace_all([TARGET, OTHER]),
             "written again": lambda: self.registry.apply([again], []),
-            "vanished and back": lambda: (
+            "deleted and written again": lambda: (
                 self.registry.apply([], ["t"]),
                 self.clock.advance(60.0),
                 self.registry.apply([again], []),
             ),
-            "the store lost and back": lambda: (
+            "store outage": lambda: (
                 self.registry.note_store_lost(),
                 self.registry.apply([], ["t"]),
                 self.registry.note_store_back(),
@@ -61,39 +61,39 @@
                 self.assertEqual(["u"], self.usable())
                 self.assertFalse(self.registry.is_usable(TARGET))
 
-    def test_the_next_life_of_a_target_is_used(self) -> None:
+    def test_the_next_incarnation_is_usable_after_leaving(self) -> None:
         self.registry.apply_notice(TARGET, LEAVES)
-        self.registry.apply([NEXT_LIFE], [])
+        self.registry.apply([NEXT_INCARNATION], [])
         self.assertEqual(["t", "u"], self.usable())
-        # An answer of the earlier life that came late says nothing of this one.
+        # A late answer of the earlier incarnation does not apply to this one.
         self.registry.apply_notice(TARGET, LEAVES)
-        self.assertTrue(self.registry.is_usable(NEXT_LIFE))
+        self.assertTrue(self.registry.is_usable(NEXT_INCARNATION))
 
-    def test_a_leaving_heard_before_the_target_is_known(self) -> None:
+    def test_leaving_received_before_the_target_is_listed_applies(self) -> None:
         self.registry.record_leaving(TargetIncarnation("v"))
         self.registry.apply([AnnouncedTarget(id="v", service="s", address="127.0.0.1:3")], [])
         self.assertEqual(["t", "u"], self.usable())
 
-    def test_room_for_leavings_is_bounded(self) -> None:
-        for number in range(target_notices.MOST_LEAVING + 1):
-            self.registry.notices.note_leaving(TargetIncarnation(f"{number}"))
+    def test_the_number_of_remembered_leaving_incarnations_is_bounded(self) -> None:
+        for number in range(target_notices.MAX_LEAVING + 1):
+            self.registry.notices.record_leaving(TargetIncarnation(f"{number}"))
         self.assertFalse(self.registry.notices.is_leaving(TargetIncarnation("0")))
         self.assertTrue(self.registry.notices.is_leaving(TargetIncarnation("1")))
 
-    def test_each_change_is_told_once(self) -> None:
+    def test_listeners_are_notified_once_per_change(self) -> None:
         changes: list[None] = []
-        told: list[TargetIncarnation] = []
+        left: list[TargetIncarnation] = []
         self.registry.subscribe(lambda: changes.append(None))
-        self.registry.notices.subscribe(told.append)
+        self.registry.notices.subscribe(left.append)
         for _ in range(3):
             self.registry.apply_notice(TARGET, LEAVES)
         self.registry.record_leaving(TARGET.incarnation)
-        self.assertEqual((1, [TARGET.incarnation]), (len(changes), told))
+        self.assertEqual((1, [TARGET.incarnation]), (len(changes), left))
 
 
-class RestTest(NoticesCase):
-    def test_a_target_gets_work_again_when_its_rest_is_over(self) -> None:
-        self.rest(3.0)
+class BackoffTest(NoticesCase):
+    def test_a_target_is_usable_again_after_its_backoff(self) -> None:
+        self.back_off(3.0)
         self.assertEqual(["u"], self.usable())
         self.assertEqual(1, self.registry.notices.backing_off)
         self.clock.advance(2.9)
@@ -102,35 +102,35 @@
         self.assertTrue(self.registry.is_usable(TARGET))
         self.assertEqual(0, self.registry.notices.backing_off)
 
-    def test_the_latest_end_counts(self) -> None:
-        self.rest(3.0)
-        self.rest(1.0)
+    def test_the_latest_end_of_several_backoffs_counts(self) -> None:
+        self.back_off(3.0)
+        self.back_off(1.0)
         self.clock.advance(2.0)
         self.assertEqual(["u"], self.usable())
-        self.rest(4.0)
+        self.back_off(4.0)
         self.clock.advance(2.0)
         self.assertEqual(["u"], self.usable())
         self.clock.advance(2.0)
         self.assertEqual(["t", "u"], self.usable())
 
-    def test_each_target_rests_for_itself(self) -> None:
-        self.rest(3.0)
-        self.rest(1.0, OTHER)
+    def test_the_backoff_of_each_target_is_separate(self) -> None:
+        self.back_off(3.0)
+        self.back_off(1.0, OTHER)
         self.assertEqual([], self.usable())
         self.clock.advance(1.0)
         self.assertEqual(["u"], self.usable())
         self.clock.advance(2.0)
         self.assertEqual(["t", "u"], self.usable())
 
-    def test_the_next_life_has_asked_for_nothing(self) -> None:
-        self.rest(3.0)
-        self.registry.apply([NEXT_LIFE], [])
+    def test_the_next_incarnation_has_no_backoff(self) -> None:
+        self.back_off(3.0)
+        self.registry.apply([NEXT_INCARNATION], [])
         self.assertEqual(["t", "u"], self.usable())
 
-    def test_a_target_that_may_come_back_rests_too(self) -> None:
+    def test_backoff_applies_to_a_target_in_grace(self) -> None:
         self.registry.note_store_lost()
         self.registry.apply([], ["t"])
-        self.rest(3.0)
+        self.back_off(3.0)
         self.assertEqual(["u"], self.usable())
         self.clock.advance(3.0)
         self.assertEqual(["t", "u"], self.usable())
