--- a/packages/loomyard-router/src/loomyard_router/crashes/__init__.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end the targets that run them: known over the fleet, and sent no more."""
+"""Detection of poison requests, which crash the targets that run them, and their refusal."""
--- a/packages/loomyard-router/src/loomyard_router/crashes/coalesced_probe.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/coalesced_probe.py
@@ -1,4 +1,4 @@
-"""Tell whether a target that broke an answer off has ended."""
+"""One crash check for all requests that fail at a target together."""
 
 from __future__ import annotations
 
@@ -14,36 +14,36 @@
 
 
 class CoalescedProbe:
-    """Find out once for all that broke there together.
+    """Shares one probe between all requests that failed at an incarnation.
 
-    An answer that was lost, spoiled or reset on its way says nothing of the request; the machine of
-    a process that has ended refuses the next connection, and that is known within a millisecond.
+    An answer that was lost, corrupted or reset in transit does not implicate the request. The VM of
+    a process that has ended refuses the next connection, which is known within a millisecond.
     """
 
-    def __init__(self, find_out: Callable[[AnnouncedTarget], bool]) -> None:
-        self._find_out = find_out
+    def __init__(self, probe: Callable[[AnnouncedTarget], bool]) -> None:
+        self._probe = probe
         self._ended: set[TargetIncarnation] = set()
-        self._asked: dict[TargetIncarnation, AsyncResult] = {}
+        self._pending: dict[TargetIncarnation, AsyncResult] = {}
 
     def has_ended(self, target: AnnouncedTarget) -> bool:
-        """Return whether this life of a target has ended; waits for its word."""
-        life = target.incarnation
-        if life in self._ended:
+        """Return whether this incarnation of a target has ended; waits for the probe."""
+        incarnation = target.incarnation
+        if incarnation in self._ended:
             return True
-        asked = self._asked.get(life)
-        if asked is not None:
-            return bool(asked.get())
-        asked = self._asked[life] = AsyncResult()
+        pending = self._pending.get(incarnation)
+        if pending is not None:
+            return bool(pending.get())
+        pending = self._pending[incarnation] = AsyncResult()
         ended = False
         try:
-            ended = self._find_out(target)
+            ended = self._probe(target)
         finally:
-            del self._asked[life]
-            asked.set(ended)
+            del self._pending[incarnation]
+            pending.set(ended)
         if ended:
-            self._ended.add(life)
+            self._ended.add(incarnation)
         return ended
 
     def retain(self, known: set[TargetIncarnation]) -> None:
-        """Forget lives of targets that are not known any more."""
+        """Drop the results of all other incarnations."""
         self._ended &= known
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_archive.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_archive.py
@@ -1,4 +1,4 @@
-"""The protocol of what outlives all routers."""
+"""The protocol of the platform storage that outlives all routers."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class CrashArchive(Protocol):
-    """Keep a value by key on the platform. Errors: ``LOG_UNAVAILABLE``."""
+    """Key-value storage on the platform. Errors: ``LOG_UNAVAILABLE``."""
 
     @property
     def era(self) -> int:
-        """Return the newest era of the store that was heard of; a later one may lack writes."""
+        """Return the newest observed era (epoch) of the store; a newer one may lack writes."""
 
     def read(self, deadline: float) -> Result[Mapping[str, bytes], Fault]:
-        """Return all values."""
+        """Return all values by key."""
 
     def write(self, key: str, value: bytes | None, deadline: float) -> Result[None, Fault]:
-        """Put a value, ``None`` to drop it; after an error it may have been done."""
+        """Put a value, ``None`` to delete it; after an error it may have been written."""
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_exchange.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_exchange.py
@@ -1,4 +1,4 @@
-"""Tell the fleet which requests ended targets."""
+"""Replication of crash records between the routers."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from result import Ok
 
 from loomyard.rendezvous import rank
-from loomyard_router.crashes.crash_ledger import FORGET_SECONDS
+from loomyard_router.crashes.crash_ledger import RETENTION_SECONDS
 from loomyard_router.crashes.crash_messages import (
-    CrashNews,
-    CrashQuestion,
-    make_word,
-    read_word,
+    CrashQuery,
+    CrashUpdate,
+    decode_entry,
+    encode_record,
 )
 
 if TYPE_CHECKING:
@@ -26,25 +26,26 @@
     from loomyard_router.members.membership import Member, Membership
     from loomyard_router.peers.links import PeerLinks
 
-# The requests that a target's end broke are told of together.
-GATHER_SECONDS = 0.005
-# Routers that each piece of news goes to; in a larger fleet each of them passes it on once, which
-# reaches 0.997 of any number of routers, and the questions the rest.
+# Delay that batches the records of all requests that one crash broke.
+BATCH_SECONDS = 0.005
+# Routers that each update is pushed to. In a larger fleet each of them forwards it once, which
+# reaches 0.997 of the routers at any fleet size; queries reach the others.
 FANOUT = 6
-# Seconds between two questions to a neighbour. Whoever starts, or was out of touch, knows what
-# the others know after one or two; users excuse three seconds and more.
-QUESTION_SECONDS = 1.0
+# Interval of queries to a neighbour. A router that starts or was partitioned is up to date after
+# one or two; users accept three seconds.
+QUERY_SECONDS = 1.0
 ANSWER_SECONDS = 0.5
-# Routers among which one is asked, the same each time, so that links stay few in a large fleet. On
-# 19 routers that is not to be seen yet: 36.0 s of processor time in 40 s, 35.0 and 37.0 with any.
+# Routers among which a random one is queried. They stay the same, which bounds the links of each
+# router in a large fleet.
 NEIGHBOURS = 6
-SOON_SECONDS = 0.2
+# Routers mostly join several at a time, so queries after a join are jittered.
+QUERY_JITTER_SECONDS = 0.2
 
 
 class CrashExchange:
-    """Push what is new at once, and ask a random neighbour whether something is missing.
+    """Pushes new records at once, and pulls missing ones from a random neighbour periodically.
 
-    A router that stood still, or hears of one it did not know, asks at once.
+    After a process pause, or when a router joins, it pulls without waiting for the interval.
     """
 
     def __init__(
@@ -61,112 +62,111 @@
         self._members = members
         self._peers = peers
         self._random = source
-        self._news: dict[str, CrashRecord] = {}
-        self._hearing = False
-        self._sending = False
-        self._asking = False
-        self._known: frozenset[str] = frozenset()
-        self._come: frozenset[str] = frozenset()
+        self._updates: dict[str, CrashRecord] = {}
+        self._applying_push = False
+        self._send_scheduled = False
+        self._query_scheduled = False
+        self._known_routers: frozenset[str] = frozenset()
+        self._joined: frozenset[str] = frozenset()
         self._task: gevent.Greenlet | None = None
-        peers.handle(CrashNews, self.hear)
-        peers.handle(CrashQuestion, self.answer)
-        ledger.subscribe(self._note)
+        peers.handle(CrashUpdate, self.receive)
+        peers.handle(CrashQuery, self.answer_query)
+        ledger.subscribe(self._schedule_send)
 
     def start(self) -> None:
-        """Start to ask."""
-        self._members.subscribe(self._look)
-        self._members.subscribe_pause(lambda _: self._ask_soon())
+        """Start the periodic queries."""
+        self._members.subscribe(self._note_joined)
+        self._members.subscribe_pause(lambda _: self._schedule_query())
         self._task = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End."""
+        """Stop the periodic queries."""
         if self._task is not None:
             self._task.kill(block=False)
 
-    def hear(self, _: Member, news: CrashNews) -> None:
-        """Take in what another router tells."""
-        # In a small fleet whoever has news tells all others itself.
-        self._hearing = len(self._members.live()) <= FANOUT + 1
+    def receive(self, _: Member, update: CrashUpdate) -> None:
+        """Apply records that another router pushed, and forward new ones in a large fleet."""
+        # In a small fleet the sender has pushed to all routers itself.
+        self._applying_push = len(self._members.live()) <= FANOUT + 1
         try:
-            self._take(news)
+            self._apply(update)
         finally:
-            self._hearing = False
+            self._applying_push = False
 
-    def answer(self, _: Member, question: CrashQuestion) -> CrashNews:
-        """Answer a router that may lack something."""
+    def answer_query(self, _: Member, query: CrashQuery) -> CrashUpdate:
+        """Return all records, none where the digests are equal."""
         records = self._ledger.records()
-        if question.digest == self._ledger.digest:
-            return CrashNews()
-        return self._put(records)
+        if query.digest == self._ledger.digest:
+            return CrashUpdate()
+        return self._make_update(records)
 
-    def ask(self, among: Iterable[str] = ()) -> None:
-        """Ask one of some routers, or a neighbour, for what this one lacks."""
+    def query(self, among: Iterable[str] = ()) -> None:
+        """Pull missing records from one of the given routers, or from a neighbour."""
         others = self._others()
-        near = rank(self._members.own.name, others)[:NEIGHBOURS]
-        asked = sorted({*among} & {*others}) or near
-        if not asked:
+        neighbours = rank(self._members.own.name, others)[:NEIGHBOURS]
+        candidates = sorted({*among} & {*others}) or neighbours
+        if not candidates:
             return
-        question = CrashQuestion(digest=self._ledger.digest)
+        query = CrashQuery(digest=self._ledger.digest)
         deadline = self._clock.now() + ANSWER_SECONDS
-        match self._peers.request(self._random.choice(asked), question, deadline):
-            case Ok(CrashNews() as news):
-                # Whoever knew it could not reach this router; it may not have reached others.
-                self._take(news)
+        match self._peers.request(self._random.choice(candidates), query, deadline):
+            case Ok(CrashUpdate() as update):
+                # Forwarded like own records: a push that missed this router may have missed others.
+                self._apply(update)
 
-    def _take(self, news: CrashNews) -> None:
+    def _apply(self, update: CrashUpdate) -> None:
         now = self._clock.now()
-        for word in news.words:
-            record = read_word(word, now, FORGET_SECONDS)
+        for entry in update.entries:
+            record = decode_entry(entry, now, RETENTION_SECONDS)
             if record is not None:
-                self._ledger.join(record)
+                self._ledger.merge(record)
 
-    def _note(self, record: CrashRecord) -> None:
-        if self._hearing:
+    def _schedule_send(self, record: CrashRecord) -> None:
+        if self._applying_push:
             return
-        self._news[record.fingerprint] = record
-        if not self._sending:
-            self._sending = True
+        self._updates[record.fingerprint] = record
+        if not self._send_scheduled:
+            self._send_scheduled = True
             gevent.spawn(self._send)
 
     def _send(self) -> None:
-        self._clock.sleep(GATHER_SECONDS)
-        self._sending = False
-        news, self._news = self._news, {}
-        message = self._put(news.values())
+        self._clock.sleep(BATCH_SECONDS)
+        self._send_scheduled = False
+        updates, self._updates = self._updates, {}
+        message = self._make_update(updates.values())
         others = self._others()
         for name in self._random.sample(others, min(FANOUT, len(others))):
             self._peers.send(name, message)
 
-    def _put(self, records: Iterable[CrashRecord]) -> CrashNews:
+    def _make_update(self, records: Iterable[CrashRecord]) -> CrashUpdate:
         now = self._clock.now()
-        return CrashNews(words=[make_word(record, now) for record in records])
+        return CrashUpdate(entries=[encode_record(record, now) for record in records])
 
     def _others(self) -> list[str]:
         own = self._members.own.name
         return [member.name for member in self._members.live() if member.name != own]
 
-    def _look(self) -> None:
-        """Ask at once where a router has come that may know more."""
+    def _note_joined(self) -> None:
+        """Schedule a query to routers that joined, as they may have more records."""
         known = frozenset(self._others())
-        come, self._known = known - self._known, known
-        self._come |= come
-        if come:
-            self._ask_soon()
-
-    def _ask_soon(self) -> None:
-        if not self._asking:
-            self._asking = True
-            gevent.spawn(self._ask_now)
-
-    def _ask_now(self) -> None:
-        # Routers mostly come several at a time.
-        self._clock.sleep(self._random.uniform(0.0, SOON_SECONDS))
-        self._asking = False
-        come, self._come = self._come, frozenset()
-        self.ask(come)
+        joined, self._known_routers = known - self._known_routers, known
+        self._joined |= joined
+        if joined:
+            self._schedule_query()
+
+    def _schedule_query(self) -> None:
+        if not self._query_scheduled:
+            self._query_scheduled = True
+            gevent.spawn(self._query_joined)
+
+    def _query_joined(self) -> None:
+        self._clock.sleep(self._random.uniform(0.0, QUERY_JITTER_SECONDS))
+        self._query_scheduled = False
+        joined, self._joined = self._joined, frozenset()
+        self.query(joined)
 
     def _run(self) -> None:
         while True:
-            self._clock.sleep(QUESTION_SECONDS * self._random.uniform(0.8, 1.2))
+            self._clock.sleep(QUERY_SECONDS * self._random.uniform(0.8, 1.2))
             self._ledger.expire()
-            self.ask()
+            self.query()
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_guard.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_guard.py
@@ -1,4 +1,4 @@
-"""Keep requests that end targets from the targets."""
+"""Refusal of poison requests, and attribution of crashes to requests."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from loomyard.errors import Fault, ResultCode
 from loomyard.events import Event, emit
-from loomyard_router.crashes.crash_ledger import BLOCKING_LEVEL, MOST_RECORDS
-from loomyard_router.crashes.late_verdicts import BrokenRequest, LateVerdicts
+from loomyard_router.crashes.crash_ledger import BLOCKING_COUNT, MAX_RECORDS
+from loomyard_router.crashes.late_crash_detector import FailedAttempt, LateCrashDetector
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
@@ -23,39 +23,39 @@
 
 logger = logging.getLogger(__name__)
 
-# A request that gave events for so long runs at this target: whatever ended it was something else.
-# Targets that ended under a request did so 65 to 72 ms after it had begun to run, in the users'
-# record and in a play; one that ends them later than this is not recognized.
-RUNS_SECONDS = 1.0
+# A request that has yielded events for this long is not blamed if its target crashes. Poison
+# requests crashed targets 65 to 72 ms after they began to run, in the users' records and in tests;
+# one that takes longer than this is not recognized.
+ESTABLISHED_SECONDS = 1.0
 
 
 class CrashGuard:
-    """Judge requests before each send, and learn from how it ended."""
+    """Checks requests before each attempt and records how the attempt ended."""
 
-    def __init__(self, clock: Clock, ledger: CrashLedger, check: CoalescedProbe) -> None:
+    def __init__(self, clock: Clock, ledger: CrashLedger, probe: CoalescedProbe) -> None:
         self._clock = clock
-        self._late = LateVerdicts(clock)
+        self._late_detector = LateCrashDetector(clock)
         self._ledger = ledger
-        self._check = check
-        self._told: set[str] = set()
-        ledger.subscribe(self._tell)
+        self._probe = probe
+        self._blocked: set[str] = set()
+        ledger.subscribe(self._log_block)
 
     def check(self, request: RoutedRequest) -> Fault | None:
-        """Set what a request is suspected of; return why it may not be sent, if so."""
+        """Set the request's crash count; return the fault that refuses it if it is blocked."""
         if self._ledger.empty:
             return None
         until = self._ledger.blocked_until(request.fingerprint)
-        request.crash_count = self._ledger.level(request.fingerprint)
+        request.crash_count = self._ledger.crash_count(request.fingerprint)
         if until is None:
             return None
         return Fault(
             code=ResultCode.ENDS_TARGETS,
-            detail=f"{request.crash_count} targets ended when they ran this request",
+            detail=f"{request.crash_count} targets crashed while running this request",
             retry_after=until - self._clock.now(),
         )
 
     def record_attempt(self, request: RoutedRequest) -> None:
-        """Take in that a request is sent now."""
+        """Set the rank of an attempt that starts now."""
         known = not self._ledger.empty
         request.send_rank = self._ledger.next_rank(request.fingerprint) if known else 1
         request.first_event_at = None
@@ -63,59 +63,59 @@
     def investigate_failure(
         self, request: RoutedRequest, target: AnnouncedTarget
     ) -> gevent.Greenlet:
-        """Take in that a target broke a request off; return what finds out whether it ended."""
+        """Start to find out whether the target of a failed attempt crashed; return the task."""
         began = request.first_event_at
-        runs = began is not None and self._clock.now() - began >= RUNS_SECONDS
+        established = began is not None and self._clock.now() - began >= ESTABLISHED_SECONDS
         return gevent.spawn(
-            self._find_out,
+            self._investigate,
             request,
             target,
             request.send_rank,
-            runs=runs,
+            established=established,
             answered=began is not None,
         )
 
     def record_response(self, target: AnnouncedTarget) -> None:
-        """Take in that a target began an answer."""
-        self._late.note_heard(target.incarnation)
+        """Record that a target began an answer, so it has not crashed."""
+        self._late_detector.record_response(target.incarnation)
 
     def update_known(self, known: set[TargetIncarnation]) -> None:
-        """Take in which lives of targets are known; one that is not any more has ended."""
-        for life, broken in self._late.take_ended(known):
-            self._ledger.note_end(broken.fingerprint, broken.rank, life)
+        """Replace the listed incarnations; attribute crashes to attempts at vanished ones."""
+        for incarnation, attempt in self._late_detector.pop_crashed(known):
+            self._ledger.record_crash(attempt.fingerprint, attempt.rank, incarnation)
             emit(
                 logger,
                 Event.TARGET_ENDED,
-                target=life,
-                fingerprint=broken.fingerprint,
-                rank=broken.rank,
+                target=incarnation,
+                fingerprint=attempt.fingerprint,
+                rank=attempt.rank,
                 blamed=True,
                 late=True,
-                level=self._ledger.level(broken.fingerprint),
+                level=self._ledger.crash_count(attempt.fingerprint),
             )
 
     def record_completion(self, request: RoutedRequest) -> None:
-        """Take in that a target ran a request to its end, well or not."""
+        """Record that a target completed a request, successfully or not."""
         if not self._ledger.empty:
             self._ledger.clear(request.fingerprint)
 
-    def _find_out(
+    def _investigate(
         self,
         request: RoutedRequest,
         target: AnnouncedTarget,
         rank: int,
         *,
-        runs: bool,
+        established: bool,
         answered: bool,
     ) -> None:
-        if not self._check.has_ended(target):
-            if not runs:
-                broken = BrokenRequest(request.fingerprint, rank)
-                self._late.note_broken(target.incarnation, broken, answered=answered)
+        if not self._probe.has_ended(target):
+            if not established:
+                attempt = FailedAttempt(request.fingerprint, rank)
+                self._late_detector.record_failure(target.incarnation, attempt, answered=answered)
             return
-        self._late.note_heard(target.incarnation)
-        if not runs:
-            self._ledger.note_end(request.fingerprint, rank, target.incarnation)
+        self._late_detector.record_response(target.incarnation)
+        if not established:
+            self._ledger.record_crash(request.fingerprint, rank, target.incarnation)
         emit(
             logger,
             Event.TARGET_ENDED,
@@ -123,26 +123,26 @@
             request=request.head.attempt_id,
             fingerprint=request.fingerprint,
             rank=rank,
-            blamed=not runs,
-            level=self._ledger.level(request.fingerprint),
+            blamed=not established,
+            level=self._ledger.crash_count(request.fingerprint),
         )
 
-    def _tell(self, record: CrashRecord) -> None:
-        """Write one line when a request is refused from now on, and one when that ends."""
+    def _log_block(self, record: CrashRecord) -> None:
+        """Log once when a request becomes blocked, and once when it is cleared."""
         fingerprint = record.fingerprint
-        level = self._ledger.level(fingerprint)
-        if level >= BLOCKING_LEVEL:
-            if fingerprint not in self._told:
-                if len(self._told) >= MOST_RECORDS:
-                    # Records that were forgotten are not taken out one by one.
-                    self._told.clear()
-                self._told.add(fingerprint)
+        count = self._ledger.crash_count(fingerprint)
+        if count >= BLOCKING_COUNT:
+            if fingerprint not in self._blocked:
+                if len(self._blocked) >= MAX_RECORDS:
+                    # Bounds the set, as records that expire are not removed from it.
+                    self._blocked.clear()
+                self._blocked.add(fingerprint)
                 emit(
                     logger,
                     Event.REQUEST_BLOCKED,
                     fingerprint=fingerprint,
-                    targets=list(record.ends.values()),
+                    targets=list(record.crashes.values()),
                 )
-        elif fingerprint in self._told:
-            self._told.discard(fingerprint)
+        elif fingerprint in self._blocked:
+            self._blocked.discard(fingerprint)
             emit(logger, Event.REQUEST_CLEARED, fingerprint=fingerprint)
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_ledger.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_ledger.py
@@ -1,4 +1,4 @@
-"""Which requests ended how many targets, as far as this router knows."""
+"""The crash records that this router knows, and which requests they identify as poison."""
 
 from __future__ import annotations
 
@@ -17,47 +17,48 @@
 
     from loomyard.clock import Clock
 
-# A target that ends breaks all that runs there. One end blames the innocent with the guilty, two
-# may be chance where targets end every few seconds; users allow three, and three more sends.
-BLOCKING_LEVEL = 3
-# For so long a request that ended targets is refused, after which one send tries it again. Each
-# wrong verdict costs its caller this long, each trial of a guilty request a target and all that
-# runs there.
+# Crashes after which a request is blocked. A crash breaks all requests at its target, so one
+# implicates innocent requests too, and two may be chance where targets crash every few seconds.
+# Users accept three, and three more sends.
+BLOCKING_COUNT = 3
+# For how long a poison request is refused; then one attempt tries it again. A wrong attribution
+# costs its caller this time, each trial of a poison request a target and all that runs there.
 BLOCK_SECONDS = 600.0
-# A record outlives its block, so that the one trial after it is enough for the next.
-FORGET_SECONDS = 3 * BLOCK_SECONDS
-# The end of an engine of 48 places blames 48 requests: room for the ends of 80 engines, at 535
-# bytes a record (measured over 4,096 of them).
-MOST_RECORDS = 4096
-MOST_ENDS = 8
-# By then all who ran at an end are known, in any order: whoever ran at as many ends as the one that
-# is known for them is not told apart from it.
+# A record outlives its block, so that one crash at the trial is enough to block the request again.
+RETENTION_SECONDS = 3 * BLOCK_SECONDS
+# The crash of an engine with 48 slots implicates 48 requests: room for the crashes of 80 engines,
+# at 535 bytes a record.
+MAX_RECORDS = 4096
+MAX_CRASHES = 8
+# Delay after an attribution before other requests are exonerated for good. By then all requests at
+# the crashes are known, whatever the order of the reports; before, the poison request may not yet
+# be distinguishable from one that ran at as many of them.
 SETTLE_SECONDS = 2.0
 
 
 @frozen(kw_only=True)
-class Verdict:
-    """The requests that are known for ending targets, and the lives that ended under them."""
+class Attribution:
+    """The requests identified as poison, and the incarnations whose crashes they explain."""
 
-    guilty: frozenset[str]
-    ends: frozenset[TargetIncarnation]
+    poison: frozenset[str]
+    crashes: frozenset[TargetIncarnation]
 
 
 class CrashLedger:
-    """Join what this router saw with what others tell; the same records give the same verdicts.
+    """Merges records of all routers; equal records give equal attributions.
 
-    An end is blamed on all that ran there until one request is known for ending targets: then the
-    ends under it are its own, and count for nobody else. Of several that ran at the same ends, the
-    one under which most targets ended is known first.
+    A crash counts against every request that ran there until one of them is identified as poison:
+    then the crashes under it count against no other. Of several requests at the same crashes, the
+    one with the most crashes is identified first.
     """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._records: OrderedDict[str, CrashRecord] = OrderedDict()
-        # Those under which enough targets ended, whoever else ran there.
-        self._heavy: set[str] = set()
-        self._verdict: Verdict | None = None
-        self._excuse_at = math.inf
+        # Requests with enough crashes to be blocked, before attribution.
+        self._candidates: set[str] = set()
+        self._attribution: Attribution | None = None
+        self._exonerate_at = math.inf
         self._listeners: list[Callable[[CrashRecord], None]] = []
         self._digest: int | None = None
 
@@ -67,141 +68,146 @@
 
     @property
     def digest(self) -> int:
-        """Return a sum over what the records say, equal where two routers know the same."""
+        """Return a digest of the records, equal where two routers have the same ones."""
         if self._digest is None:
             self._digest = unordered_digest(
-                [one.fingerprint, one.cleared, sorted(one.ends.items())]
+                [one.fingerprint, one.cleared, sorted(one.crashes.items())]
                 for one in self._records.values()
             )
         return self._digest
 
     def subscribe(self, changed: Callable[[CrashRecord], None]) -> None:
-        """Call back with each record that says more than before; the call must not wait."""
+        """Call back with each record that is new or changed; the callback must not block."""
         self._listeners.append(changed)
 
     def records(self) -> list[CrashRecord]:
-        """Return all records that hold."""
+        """Return all records that have not expired."""
         self.expire()
         return list(self._records.values())
 
     def next_rank(self, fingerprint: str) -> int:
-        """Return the rank of a send that begins now."""
+        """Return the rank of an attempt that starts now."""
         record = self._records.get(fingerprint)
-        return 1 if record is None else record.highest + 1
+        return 1 if record is None else record.highest_rank + 1
 
-    def level(self, fingerprint: str) -> int:
-        """Return how many targets ended under a request, one after the other."""
+    def crash_count(self, fingerprint: str) -> int:
+        """Return the crashes attributed to a request; those of concurrent copies count once."""
         record = self._records.get(fingerprint)
         if record is None or record.until <= self._clock.now():
             return 0
-        verdict = self._judge()
-        if fingerprint in verdict.guilty:
-            return len(record.lives)
-        return len(record.lives - verdict.ends)
+        attribution = self._attribute()
+        if fingerprint in attribution.poison:
+            return len(record.incarnations)
+        return len(record.incarnations - attribution.crashes)
 
     def blocked_until(self, fingerprint: str) -> float | None:
-        """Return until when a request is refused, ``None`` where it may be sent."""
+        """Return the clock time until which a request is refused, ``None`` if it may be sent."""
         record = self._records.get(fingerprint)
-        if record is None or self.level(fingerprint) < BLOCKING_LEVEL:
+        if record is None or self.crash_count(fingerprint) < BLOCKING_COUNT:
             return None
-        until = record.until - (FORGET_SECONDS - BLOCK_SECONDS)
+        until = record.until - (RETENTION_SECONDS - BLOCK_SECONDS)
         return until if until > self._clock.now() else None
 
     def count_suspected(self) -> int:
-        """Return under how many requests targets ended."""
-        return sum(bool(record.lives) for record in self._records.values())
+        """Return the number of requests under which targets crashed."""
+        return sum(bool(record.incarnations) for record in self._records.values())
 
     def count_blocked(self) -> int:
-        """Return how many requests are refused."""
-        return sum(self.blocked_until(one) is not None for one in self._heavy)
+        """Return the number of requests that are refused."""
+        return sum(self.blocked_until(one) is not None for one in self._candidates)
 
-    def note_end(self, fingerprint: str, rank: int, life: TargetIncarnation) -> None:
-        """Take in that a target ended under a request that was sent with a rank."""
-        until = self._clock.now() + FORGET_SECONDS
-        self.join(CrashRecord(fingerprint=fingerprint, until=until, ends={rank: life}))
+    def record_crash(self, fingerprint: str, rank: int, incarnation: TargetIncarnation) -> None:
+        """Record that a target crashed under an attempt with a rank."""
+        until = self._clock.now() + RETENTION_SECONDS
+        self.merge(CrashRecord(fingerprint=fingerprint, until=until, crashes={rank: incarnation}))
 
     def clear(self, fingerprint: str) -> None:
-        """Take in that a request ran to its end, so that what was blamed on it was not its own."""
+        """Record that a request completed, so the crashes so far were not caused by it."""
         record = self._records.get(fingerprint)
-        if record is not None and record.lives:
-            cleared = record.highest
-            self.join(CrashRecord(fingerprint=fingerprint, until=record.until, cleared=cleared))
-
-    def join(self, told: CrashRecord) -> bool:
-        """Take in a record; tell whether it says more than was known."""
-        known = self._records.get(told.fingerprint)
-        joined = told if known is None else known.joined(told)
-        if known is not None and known.says_as_much(joined):
+        if record is not None and record.incarnations:
+            cleared = record.highest_rank
+            self.merge(CrashRecord(fingerprint=fingerprint, until=record.until, cleared=cleared))
+
+    def merge(self, record: CrashRecord) -> bool:
+        """Merge a record into the known ones; return whether it adds information."""
+        known = self._records.get(record.fingerprint)
+        merged = record if known is None else known.merged(record)
+        if known is not None and known.has_same_content(merged):
             return False
-        if len(joined.ends) > MOST_ENDS:
-            oldest = sorted(joined.ends)[-MOST_ENDS - 1]
-            joined = joined.joined(
-                CrashRecord(fingerprint=told.fingerprint, until=joined.until, cleared=oldest)
+        if len(merged.crashes) > MAX_CRASHES:
+            oldest = sorted(merged.crashes)[-MAX_CRASHES - 1]
+            merged = merged.merged(
+                CrashRecord(fingerprint=record.fingerprint, until=merged.until, cleared=oldest)
             )
-        known_guilty = self._judge().guilty
-        self._keep(joined)
-        if self._judge().guilty - known_guilty:
-            self._excuse_at = self._clock.now() + SETTLE_SECONDS
+        known_poison = self._attribute().poison
+        self._store(merged)
+        if self._attribute().poison - known_poison:
+            self._exonerate_at = self._clock.now() + SETTLE_SECONDS
         for changed in self._listeners:
-            changed(joined)
+            changed(merged)
         return True
 
     def expire(self) -> None:
-        """Forget what is past its end, and whom an end is no longer blamed on."""
+        """Drop expired records; exonerate requests if that is due."""
         now = self._clock.now()
         for fingerprint in [one for one, known in self._records.items() if known.until <= now]:
             self._drop(fingerprint)
-        if now >= self._excuse_at:
-            self._excuse_at = math.inf
-            self._excuse()
+        if now >= self._exonerate_at:
+            self._exonerate_at = math.inf
+            self._exonerate()
 
-    def _keep(self, record: CrashRecord) -> None:
+    def _store(self, record: CrashRecord) -> None:
         fingerprint = record.fingerprint
         self._records[fingerprint] = record
         self._records.move_to_end(fingerprint)
-        if len(record.lives) >= BLOCKING_LEVEL:
-            self._heavy.add(fingerprint)
+        if len(record.incarnations) >= BLOCKING_COUNT:
+            self._candidates.add(fingerprint)
         else:
-            self._heavy.discard(fingerprint)
-        self._forget_sums()
-        if len(self._records) > MOST_RECORDS:
-            # The oldest of those that may well be innocent.
-            innocent = (one for one in self._records if self.level(one) <= 1)
+            self._candidates.discard(fingerprint)
+        self._invalidate_caches()
+        if len(self._records) > MAX_RECORDS:
+            # Drops the oldest with at most one crash, which is probably innocent, else the oldest.
+            innocent = (one for one in self._records if self.crash_count(one) <= 1)
             self._drop(next(innocent, next(iter(self._records))))
 
     def _drop(self, fingerprint: str) -> None:
         del self._records[fingerprint]
-        self._heavy.discard(fingerprint)
-        self._forget_sums()
+        self._candidates.discard(fingerprint)
+        self._invalidate_caches()
 
-    def _forget_sums(self) -> None:
+    def _invalidate_caches(self) -> None:
         self._digest = None
-        self._verdict = None
+        self._attribution = None
 
-    def _judge(self) -> Verdict:
-        if self._verdict is None:
-            self._verdict = find_guilty({one: self._records[one].lives for one in self._heavy})
-        return self._verdict
+    def _attribute(self) -> Attribution:
+        if self._attribution is None:
+            self._attribution = attribute_crashes(
+                {one: self._records[one].incarnations for one in self._candidates}
+            )
+        return self._attribution
 
-    def _excuse(self) -> None:
-        """Let ends that are explained count for nobody else, also not when more come to them."""
-        verdict = self._judge()
+    def _exonerate(self) -> None:
+        """Remove explained crashes from the records of other requests, also for later counts."""
+        attribution = self._attribute()
         for fingerprint, record in list(self._records.items()):
-            if fingerprint not in verdict.guilty and record.lives & verdict.ends:
-                self._records[fingerprint] = record.without(verdict.ends)
-        self._heavy &= verdict.guilty
-        self._forget_sums()
+            if fingerprint not in attribution.poison and record.incarnations & attribution.crashes:
+                self._records[fingerprint] = record.without(attribution.crashes)
+        self._candidates &= attribution.poison
+        self._invalidate_caches()
+
 
+def attribute_crashes(crashes: Mapping[str, frozenset[TargetIncarnation]]) -> Attribution:
+    """Identify poison requests greedily, most unexplained crashes first; ties go together.
 
-def find_guilty(ends: Mapping[str, frozenset[TargetIncarnation]]) -> Verdict:
-    """Find the fewest requests that explain the ends; those that explain as many go together."""
-    guilty: set[str] = set()
+    ``crashes`` maps fingerprints to the incarnations that crashed under the request.
+    """
+    poison: set[str] = set()
     explained: set[TargetIncarnation] = set()
     while True:
-        left = {one: len(lives - explained) for one, lives in ends.items() if one not in guilty}
-        most = max(left.values(), default=0)
-        if most < BLOCKING_LEVEL:
-            return Verdict(guilty=frozenset(guilty), ends=frozenset(explained))
-        found = [one for one, count in left.items() if count == most]
-        guilty.update(found)
-        explained.update(*(ends[one] for one in found))
+        left = {one: len(ended - explained) for one, ended in crashes.items() if one not in poison}
+        highest = max(left.values(), default=0)
+        if highest < BLOCKING_COUNT:
+            return Attribution(poison=frozenset(poison), crashes=frozenset(explained))
+        found = [one for one, count in left.items() if count == highest]
+        poison.update(found)
+        explained.update(*(crashes[one] for one in found))
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_messages.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which routers tell each other which requests ended targets."""
+"""Peer messages that replicate crash records."""
 
 from __future__ import annotations
 
@@ -8,59 +8,63 @@
 from loomyard_router.crashes.crash_record import CrashRecord
 from loomyard_router.peers.message_types import peer_message
 
-# Users' requests are named by 16 bytes in hex; a peer may say anything.
-MOST_NAME = 128
-MOST_RANK = 1 << 20
+# Limit of names from peers and from the store; fingerprints are 16 bytes in hexadecimal.
+MAX_NAME_CHARS = 128
+MAX_RANK = 1 << 20
 
 
 @frozen(kw_only=True)
-class CrashWord:
-    """A record; ``seconds`` are left of its life."""
+class CrashEntry:
+    """An encoded crash record; it expires after ``remaining_seconds``."""
 
     fingerprint: str
     cleared: int
-    ends: list[tuple[int, TargetIncarnation]]
-    seconds: int
+    crashes: list[tuple[int, TargetIncarnation]]
+    remaining_seconds: int
 
 
 @peer_message("cn")
 @frozen(kw_only=True)
-class CrashNews:
-    """Records that the sender holds."""
+class CrashUpdate:
+    """Crash records of the sender."""
 
-    words: list[CrashWord] = field(factory=list)
+    entries: list[CrashEntry] = field(factory=list)
 
 
 @peer_message("cq")
 @frozen(kw_only=True)
-class CrashQuestion:
-    """Ask for all records, unless the receiver knows the same as the sender by its digest."""
+class CrashQuery:
+    """Requests all records unless the receiver's digest equals the sender's."""
 
     digest: int
 
 
-def make_word(record: CrashRecord, now: float) -> CrashWord:
-    """Put a record into words."""
-    return CrashWord(
+def encode_record(record: CrashRecord, now: float) -> CrashEntry:
+    """Encode a record for sending at clock time ``now``."""
+    return CrashEntry(
         fingerprint=record.fingerprint,
         cleared=record.cleared,
-        ends=sorted(record.ends.items()),
-        # Whole seconds, rounded down: copies can't keep each other alive.
-        seconds=int(record.until - now),
+        crashes=sorted(record.crashes.items()),
+        # Rounded down, so that routers that exchange a record can't prolong it.
+        remaining_seconds=int(record.until - now),
     )
 
 
-def read_word(word: CrashWord, now: float, longest: float) -> CrashRecord | None:
-    """Return the record of a word, ``None`` where it says nothing that can be kept."""
-    ranks = [rank for rank, _ in word.ends]
-    sound = 0 < len(word.fingerprint) <= MOST_NAME and all(
-        0 < rank <= MOST_RANK and len(life) <= MOST_NAME for rank, life in word.ends
+def decode_entry(entry: CrashEntry, now: float, max_seconds: float) -> CrashRecord | None:
+    """Decode a received entry; ``None`` if it is invalid or expired."""
+    ranks = [rank for rank, _ in entry.crashes]
+    valid = 0 < len(entry.fingerprint) <= MAX_NAME_CHARS and all(
+        0 < rank <= MAX_RANK and len(incarnation) <= MAX_NAME_CHARS
+        for rank, incarnation in entry.crashes
     )
-    if not sound or not 0 <= word.cleared <= MOST_RANK or len(set(ranks)) < len(ranks):
+    if not valid or not 0 <= entry.cleared <= MAX_RANK or len(set(ranks)) < len(ranks):
         return None
-    if word.seconds <= 0:
+    if entry.remaining_seconds <= 0:
         return None
-    until = now + min(float(word.seconds), longest)
+    until = now + min(float(entry.remaining_seconds), max_seconds)
     return CrashRecord(
-        fingerprint=word.fingerprint, until=until, cleared=word.cleared, ends=dict(word.ends)
+        fingerprint=entry.fingerprint,
+        until=until,
+        cleared=entry.cleared,
+        crashes=dict(entry.crashes),
     )
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_persister.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_persister.py
@@ -1,4 +1,4 @@
-"""Keep what is known of requests that end targets when all routers are lost at once."""
+"""Persistence of blocked requests on the platform, for the loss of all routers at once."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from loomyard.events import Event, emit
 from loomyard.rendezvous import choose
 from loomyard_router.announced.target_incarnation import TargetIncarnation
-from loomyard_router.crashes.crash_ledger import BLOCKING_LEVEL, FORGET_SECONDS
-from loomyard_router.crashes.crash_messages import MOST_NAME, CrashWord, read_word
+from loomyard_router.crashes.crash_ledger import BLOCKING_COUNT, RETENTION_SECONDS
+from loomyard_router.crashes.crash_messages import MAX_NAME_CHARS, CrashEntry, decode_entry
 from loomyard_router.feeds.unreadable_entry import MAX_DETAIL_CHARS
 from loomyard_router.peers.compact_codec import pack, unpack
 
@@ -28,29 +28,30 @@
 logger = logging.getLogger(__name__)
 
 CALL_SECONDS = 1.5
-FIRST_PAUSE = 0.25
-LONGEST_PAUSE = 30.0
-# A router that sees no other one may be cut off from all that know more, but not from the store.
-ALONE_SECONDS = 2.0
+MIN_RETRY_SECONDS = 0.25
+MAX_RETRY_SECONDS = 30.0
+# Interval at which a router that sees no other one reads the store again: it may be partitioned
+# from routers with newer records, but not from the store.
+ISOLATED_SECONDS = 2.0
 
 
 @frozen(kw_only=True)
-class KeptRecord:
-    """A record as it is kept; ``until`` is of the wall clock, in whole seconds.
+class StoredRecord:
+    """A crash record as stored; ``until`` is wall-clock time in whole seconds.
 
-    It bounds a life of half an hour, for which the clocks of VMs agree well enough.
+    Records last half an hour, for which the clocks of VMs agree well enough.
     """
 
     until: int
     cleared: int = 0
-    ends: list[tuple[int, TargetIncarnation]] = field(factory=list)
+    crashes: list[tuple[int, TargetIncarnation]] = field(factory=list)
 
 
 class CrashPersister:
-    """Write each request that is refused to the platform, once, and read them at the start.
+    """Writes the records of blocked requests to the platform, and reads them at the start.
 
-    One of the routers writes for all: the one that the request belongs to among the live ones. A
-    write that failed is made again, also by another router once that one is gone.
+    One live router per request, chosen by rendezvous hash, writes for all. A failed write is
+    retried, by another router once that one is gone.
     """
 
     def __init__(
@@ -60,131 +61,133 @@
         self._ledger = ledger
         self._archive = archive
         self._members = members
-        # What stands there by key, as far as this router wrote or read it.
-        self._kept: dict[str, KeptRecord] = {}
-        self._due = GeventEvent()
-        self._read = False
+        # The stored records by key, as far as this router wrote or read them.
+        self._stored: dict[str, StoredRecord] = {}
+        self._wakeup = GeventEvent()
+        self._is_read = False
         self._era = 0
         self._read_at = clock.now()
-        self._met = False
+        self._had_peers = False
         self._failures = 0
         self._task: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Start to read and to write."""
-        self._ledger.subscribe(self._note)
-        self._members.subscribe(self._due.set)
+        """Start the task that reads and writes."""
+        self._ledger.subscribe(self._wake)
+        self._members.subscribe(self._wakeup.set)
         self._task = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End."""
+        """Stop the task."""
         if self._task is not None:
             self._task.kill(block=False)
 
     def step(self) -> bool:
-        """Make one call if one is due; false where it failed."""
+        """Make one call if one is due; return false if it failed."""
         if self._archive.era > self._era:
-            # The copy may lack what was written: it is read, and what it lacks written again.
-            self._era, self._read = self._archive.era, False
-        alone = self._met and len(self._members.live()) == 1
-        self._met = self._met or len(self._members.live()) > 1
-        if not self._read or (alone and self._clock.now() >= self._read_at + ALONE_SECONDS):
+            # The store was rolled back: read it, then write again what it lacks.
+            self._era, self._is_read = self._archive.era, False
+        alone = self._had_peers and len(self._members.live()) == 1
+        self._had_peers = self._had_peers or len(self._members.live()) > 1
+        if not self._is_read or (alone and self._clock.now() >= self._read_at + ISOLATED_SECONDS):
             return self._read_all()
-        due = self._find_due()
+        due = self._next_write()
         return due is None or self._write(*due)
 
-    def _find_due(self) -> tuple[str, KeptRecord | None] | None:
-        """Return the next record that this router has to write, ``None`` in it to drop the key."""
-        wanted = self._wanted()
-        for key in sorted({*wanted, *self._kept}):
-            if wanted.get(key) != self._kept.get(key) and self._is_own(key):
-                return key, wanted.get(key)
+    def _next_write(self) -> tuple[str, StoredRecord | None] | None:
+        """Return the next key for this router to write, with its record, ``None`` to delete it."""
+        desired = self._desired_records()
+        for key in sorted({*desired, *self._stored}):
+            if desired.get(key) != self._stored.get(key) and self._is_own(key):
+                return key, desired.get(key)
         return None
 
     def _read_all(self) -> bool:
         now = self._clock.now()
         match self._archive.read(now + CALL_SECONDS):
             case Err(fault):
-                self._note_failure(fault.detail)
+                self._record_failure(fault.detail)
                 return False
             case Ok(values):
                 pass
-        self._read, self._read_at = True, now
-        self._kept.clear()
+        self._is_read, self._read_at = True, now
+        self._stored.clear()
         for key, value in values.items():
-            kept = self._kept[key] = _decode(key, value)
-            word = CrashWord(
+            stored = self._stored[key] = _decode(key, value)
+            entry = CrashEntry(
                 fingerprint=key,
-                cleared=kept.cleared,
-                ends=kept.ends,
-                seconds=int(kept.until - self._clock.wall()),
+                cleared=stored.cleared,
+                crashes=stored.crashes,
+                remaining_seconds=int(stored.until - self._clock.wall()),
             )
-            record = read_word(word, now, FORGET_SECONDS)
+            record = decode_entry(entry, now, RETENTION_SECONDS)
             if record is not None:
-                self._ledger.join(record)
+                self._ledger.merge(record)
         return True
 
-    def _write(self, key: str, record: KeptRecord | None) -> bool:
+    def _write(self, key: str, record: StoredRecord | None) -> bool:
         value = None if record is None else pack(record)
         outcome = self._archive.write(key, value, self._clock.now() + CALL_SECONDS)
         if outcome.is_err():
-            self._note_failure(outcome.unwrap_err().detail)
+            self._record_failure(outcome.unwrap_err().detail)
             return False
         if record is None:
-            del self._kept[key]
+            del self._stored[key]
         else:
-            self._kept[key] = record
+            self._stored[key] = record
         return True
 
-    def _wanted(self) -> dict[str, KeptRecord]:
-        """Return what has to stand there."""
-        lag = self._clock.wall() - self._clock.now()
-        wanted = {}
+    def _desired_records(self) -> dict[str, StoredRecord]:
+        """Return the records of blocked requests by key, as they should be stored."""
+        wall_offset = self._clock.wall() - self._clock.now()
+        desired = {}
         for record in self._ledger.records():
-            if self._ledger.level(record.fingerprint) >= BLOCKING_LEVEL:
-                ends = sorted(record.ends.items())
-                new = KeptRecord(until=int(record.until + lag), cleared=record.cleared, ends=ends)
-                kept = self._kept.get(record.fingerprint)
-                # What says the same stays, however clocks moved.
-                if kept is not None and evolve(new, until=kept.until) == kept:
-                    new = kept
-                wanted[record.fingerprint] = new
-        return wanted
+            if self._ledger.crash_count(record.fingerprint) >= BLOCKING_COUNT:
+                crashes = sorted(record.crashes.items())
+                new = StoredRecord(
+                    until=int(record.until + wall_offset), cleared=record.cleared, crashes=crashes
+                )
+                stored = self._stored.get(record.fingerprint)
+                # A clock adjustment alone does not cause another write.
+                if stored is not None and evolve(new, until=stored.until) == stored:
+                    new = stored
+                desired[record.fingerprint] = new
+        return desired
 
     def _is_own(self, key: str) -> bool:
         names = [member.name for member in self._members.live()]
         return choose(key, names) == self._members.own.name
 
-    def _note(self, _: CrashRecord) -> None:
-        self._due.set()
+    def _wake(self, _: CrashRecord) -> None:
+        self._wakeup.set()
 
-    def _note_failure(self, detail: str) -> None:
+    def _record_failure(self, detail: str) -> None:
         self._failures += 1
         if self._failures == 1:
             emit(logger, Event.CRASHES_NOT_KEPT, detail=detail)
 
     def _run(self) -> None:
         while True:
-            self._due.clear()
+            self._wakeup.clear()
             if self.step():
                 self._failures = 0
-                if self._find_due() is None:
-                    self._due.wait(timeout=ALONE_SECONDS)
+                if self._next_write() is None:
+                    self._wakeup.wait(timeout=ISOLATED_SECONDS)
             else:
-                pause = min(LONGEST_PAUSE, FIRST_PAUSE * 2.0 ** min(self._failures, 8))
+                pause = min(MAX_RETRY_SECONDS, MIN_RETRY_SECONDS * 2.0 ** min(self._failures, 8))
                 self._clock.sleep(pause)
 
 
-def _decode(key: str, value: bytes) -> KeptRecord:
-    match unpack(value, KeptRecord):
+def _decode(key: str, value: bytes) -> StoredRecord:
+    match unpack(value, StoredRecord):
         case Ok(record):
             return record
         case Err(detail):
             emit(
                 logger,
                 Event.ENTRY_UNREADABLE,
-                key=key[:MOST_NAME],
+                key=key[:MAX_NAME_CHARS],
                 detail=detail[:MAX_DETAIL_CHARS],
             )
-    # It is past its end, so its router drops it.
-    return KeptRecord(until=0)
+    # An expired record, so the router that owns the key deletes it.
+    return StoredRecord(until=0)
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_record.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_record.py
@@ -1,4 +1,4 @@
-"""What is known of the ends of targets under one request."""
+"""The record of the targets that crashed under one request."""
 
 from __future__ import annotations
 
@@ -8,57 +8,60 @@
 
 from loomyard_router.announced.target_incarnation import TargetIncarnation
 
-# Less than any name, so that it holds where records are joined.
-NOBODYS = TargetIncarnation("")
+# Less than any incarnation, so that it wins when records are merged.
+NOT_BLAMED = TargetIncarnation("")
 
 
 @frozen(kw_only=True)
 class CrashRecord:
-    """The lives of targets that ended under a request, by the rank of the send.
+    """The target incarnations that crashed under a request, by the rank of the attempt.
 
-    The rank of a send is one more than the highest that its router knew, so copies of a request
-    that ran at the same time share a rank: many targets that fail together count once. Ends up to
-    the rank ``cleared`` say nothing, since the request ran to its end afterwards; nor does an end
-    that was found to be another request's, whose life is ``NOBODYS``.
+    The rank of an attempt is one more than the highest its router knew at its start, so concurrent
+    copies of a request share a rank: targets that crash under them together count once. Crashes up
+    to the rank ``cleared`` don't count, as the request completed afterwards. Nor do crashes
+    attributed to another request; their incarnation is replaced by ``NOT_BLAMED``.
 
-    ``until`` is the monotonic time at which the record is forgotten.
+    ``until`` is the monotonic time at which the record expires.
     """
 
     fingerprint: str
     until: float
     cleared: int = 0
-    ends: Mapping[int, TargetIncarnation] = field(factory=dict)
+    crashes: Mapping[int, TargetIncarnation] = field(factory=dict)
 
     @property
-    def lives(self) -> frozenset[TargetIncarnation]:
-        """Return the lives whose ends are blamed on the request."""
-        return frozenset(life for life in self.ends.values() if life != NOBODYS)
+    def incarnations(self) -> frozenset[TargetIncarnation]:
+        """Return the incarnations whose crashes count against the request."""
+        return frozenset(one for one in self.crashes.values() if one != NOT_BLAMED)
 
     @property
-    def highest(self) -> int:
-        """Return the highest rank that is known."""
-        return max(self.ends, default=self.cleared)
+    def highest_rank(self) -> int:
+        """Return the highest known rank."""
+        return max(self.crashes, default=self.cleared)
 
-    def joined(self, other: CrashRecord) -> CrashRecord:
-        """Return what both records say; the same in any order and however often."""
+    def merged(self, other: CrashRecord) -> CrashRecord:
+        """Return the merged record; merging is commutative, associative and idempotent."""
         cleared = max(self.cleared, other.cleared)
-        ends: dict[int, TargetIncarnation] = {}
-        for rank in sorted({*self.ends, *other.ends}):
+        crashes: dict[int, TargetIncarnation] = {}
+        for rank in sorted({*self.crashes, *other.crashes}):
             if rank > cleared:
-                lives = [one.ends[rank] for one in (self, other) if rank in one.ends]
-                ends[rank] = min(lives)
+                incarnations = [one.crashes[rank] for one in (self, other) if rank in one.crashes]
+                crashes[rank] = min(incarnations)
         return CrashRecord(
             fingerprint=self.fingerprint,
             until=max(self.until, other.until),
             cleared=cleared,
-            ends=ends,
+            crashes=crashes,
         )
 
-    def without(self, lives: frozenset[TargetIncarnation]) -> CrashRecord:
-        """Return the record in which some ends are not blamed on the request."""
-        ends = {rank: NOBODYS if life in lives else life for rank, life in self.ends.items()}
-        return evolve(self, ends=ends)
+    def without(self, incarnations: frozenset[TargetIncarnation]) -> CrashRecord:
+        """Return the record without the crashes of some incarnations."""
+        crashes = {
+            rank: NOT_BLAMED if incarnation in incarnations else incarnation
+            for rank, incarnation in self.crashes.items()
+        }
+        return evolve(self, crashes=crashes)
 
-    def says_as_much(self, other: CrashRecord) -> bool:
-        """Tell whether two records say the same, whenever they end."""
-        return (self.cleared, self.ends) == (other.cleared, other.ends)
+    def has_same_content(self, other: CrashRecord) -> bool:
+        """Return whether two records are equal apart from their expiry."""
+        return (self.cleared, self.crashes) == (other.cleared, other.crashes)
--- a/packages/loomyard-router/src/loomyard_router/crashes/liveness_probe.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/liveness_probe.py
@@ -1,4 +1,4 @@
-"""Find out whether a target that broke an answer off has ended."""
+"""Check by connection and health path whether a target has ended after a failed answer."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 
 logger = logging.getLogger(__name__)
 
-# A machine refuses a connection to a process that has ended within a way there and back.
+# The VM of a process that has ended refuses a connection within one round trip.
 CONNECT_SECONDS = 0.15
-# A target that lives answers at once, or when a slot is free; then it is not known to have ended.
+# A live target answers at once, or when a slot is free; a timeout does not count as its end.
 ANSWER_SECONDS = 0.3
-# Questions that a router asks at most: each has the price of a liveness check, and where answers
-# are lost by the hundred few of them tell anything.
-ASKS_PER_SECOND = 2.0
-MOST_SAVED = 4.0
+# Token bucket for health checks: each costs as much as a regular one, and when answers are lost by
+# the hundred, few checks find anything.
+PROBES_PER_SECOND = 2.0
+PROBE_BURST = 4.0
 
 
 class LivenessProbe:
-    """Try a connection; where one comes up ask who lives there.
+    """Opens a connection, and if it is accepted, asks which instance answers there.
 
-    Something in front of a target may accept connections for a process that has ended. What it
-    answers names another life, or is an error of its own. Silence and broken connections say
-    nothing, since a target that is full or cut off does the same.
+    A proxy in front of a target may accept connections for a process that has ended. The answer to
+    the health check is then an error of the proxy or names another instance. Timeouts and broken
+    connections prove nothing, since an overloaded or partitioned target shows the same.
     """
 
     def __init__(
@@ -48,44 +48,44 @@
         self._clock = clock
         self._registry = registry
         self._pool = pool
-        self._dialect = codec
+        self._codec = codec
         self._holder = holder
-        self._saved = MOST_SAVED
-        self._counted_at = clock.now()
+        self._tokens = PROBE_BURST
+        self._refilled_at = clock.now()
 
     def has_ended(self, target: AnnouncedTarget) -> bool:
-        """Tell whether it is known that the target's life is over; waits for its answer."""
+        """Return whether this incarnation is known to have ended; waits for the answer."""
         try:
             connection = self._pool.open(target, CONNECT_SECONDS)
         except ConnectionRefusedError:
             return True
         except OSError as error:
-            logger.debug("a target that broke an answer off can't be reached: %r", error)
+            logger.debug("target unreachable after a failed answer: %r", error)
             return False
         path = self._health_path(target)
-        if not path or self._registry.is_backing_off(target) or not self._may_ask():
+        if not path or self._registry.is_backing_off(target) or not self._take_token():
             self._pool.release_unused(target, connection)
             return False
-        return self._names_another(target, connection, path)
+        return self._is_replaced(target, connection, path)
 
-    def _names_another(
+    def _is_replaced(
         self, target: AnnouncedTarget, connection: TargetConnection, path: str
     ) -> bool:
         deadline = self._clock.now() + ANSWER_SECONDS
         try:
-            connection.send(self._dialect.encode_health_check(path, target), b"", "GET", deadline)
+            connection.send(self._codec.encode_health_check(path, target), b"", "GET", deadline)
             connection.read_head(deadline)
             while connection.read_block(deadline):
                 pass
         except ExchangeBrokenError as error:
-            logger.debug("a target that broke an answer off does not say who it is: %r", error)
+            logger.debug("health check failed after a failed answer: %r", error)
             connection.close()
             return False
-        word = self._dialect.decode_health_answer(connection.status, connection.headers)
+        answer = self._codec.decode_health_answer(connection.status, connection.headers)
         self._pool.release(target, connection)
-        if word.instance_id is not None and word.instance_id != target.id:
+        if answer.instance_id is not None and answer.instance_id != target.id:
             return True
-        self._registry.apply_notice(target, word.notice)
+        self._registry.apply_notice(target, answer.notice)
         return False
 
     def _health_path(self, target: AnnouncedTarget) -> str:
@@ -93,12 +93,12 @@
         terms = None if table is None else table.services.get(target.service)
         return "" if terms is None else terms.health_path
 
-    def _may_ask(self) -> bool:
+    def _take_token(self) -> bool:
         now = self._clock.now()
-        earned = (now - self._counted_at) * ASKS_PER_SECOND
-        self._saved = min(MOST_SAVED, self._saved + earned)
-        self._counted_at = now
-        if self._saved < 1.0:
+        refilled = (now - self._refilled_at) * PROBES_PER_SECOND
+        self._tokens = min(PROBE_BURST, self._tokens + refilled)
+        self._refilled_at = now
+        if self._tokens < 1.0:
             return False
-        self._saved -= 1.0
+        self._tokens -= 1.0
         return True
--- a/tests/test_loomyard_router/test_crashing/crash_fleet.py
+++ b/tests/test_loomyard_router/test_crashing/crash_fleet.py
@@ -1,4 +1,4 @@
-"""The part of routers that tells of requests that end targets, on stepped time."""
+"""Test fixture: routers that exchange crash records, on stepped time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from loomyard_router.announced.target_incarnation import TargetIncarnation
 from loomyard_router.crashes.crash_exchange import CrashExchange
-from loomyard_router.crashes.crash_ledger import BLOCKING_LEVEL, CrashLedger
+from loomyard_router.crashes.crash_ledger import BLOCKING_COUNT, CrashLedger
 from loomyard_router.members.membership import Member
 from loomyard_standins.memory_network import MemoryNetwork, MemoryPeers
 from loomyard_standins.stepped_clock import SteppedClock
@@ -17,7 +17,7 @@
 
 @define(eq=False)
 class Router:
-    """One router's part."""
+    """The components of one router."""
 
     members: Members
     ledger: CrashLedger
@@ -25,7 +25,7 @@
 
 
 class CrashFleet:
-    """Routers that know each other; ``missing`` ones have not started yet."""
+    """``count`` connected routers; ``missing`` more can be started later."""
 
     def __init__(self, count: int, *, missing: int = 0, seed: int = 1) -> None:
         self.clock = SteppedClock()
@@ -40,7 +40,7 @@
             self.start(member.name)
 
     def start(self, name: str) -> None:
-        """Start a router that knows nothing yet."""
+        """Start a router without crash records."""
         own = next(member for member in self._all if member.name == name)
         peers: MemoryPeers = self.network.join(own)
         known = [member for member in self._all if member.name in {*self.routers, name}]
@@ -60,23 +60,25 @@
         members.change(known)
 
     def stop(self) -> None:
-        """End all tasks."""
+        """Stop all tasks."""
         for router in self.routers.values():
             router.exchange.stop()
         self.run(0.0)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock, running what is due."""
         self.clock.run(self.clock.now() + seconds)
 
     def block(self, fingerprint: str, name: str = "r0") -> None:
-        """Let a router see targets end under a request."""
+        """Record enough crashes at a router to block a request."""
         ledger = self.routers[name].ledger
-        for number in range(BLOCKING_LEVEL):
-            ledger.note_end(fingerprint, number + 1, TargetIncarnation(f"{fingerprint}-{number}"))
+        for number in range(BLOCKING_COUNT):
+            ledger.record_crash(
+                fingerprint, number + 1, TargetIncarnation(f"{fingerprint}-{number}")
+            )
 
-    def lacking(self, fingerprint: str) -> list[str]:
-        """Return the routers that would still send a request."""
+    def not_blocking(self, fingerprint: str) -> list[str]:
+        """Return the names of routers that would still send a request."""
         return [
             name
             for name, router in self.routers.items()
--- a/tests/test_loomyard_router/test_crashing/routers_case.py
+++ b/tests/test_loomyard_router/test_crashing/routers_case.py
@@ -1,4 +1,4 @@
-"""Routers on loopback that hear of each other, and targets that end under certain requests."""
+"""Test fixture: connected routers on loopback, and targets that crash under poison requests."""
 
 from __future__ import annotations
 
@@ -27,30 +27,30 @@
 if TYPE_CHECKING:
     from loomyard_router.routes.route import Route
 
-# A body that begins so ends each target that begins to run it.
-ENDING = b"ends targets"
+# A request whose body begins with this crashes its target.
+POISON_BODY = b"ends targets"
 ENGINES = ServiceTerms(name="engine", health_path="/health", engine=EngineTerms(slots=4))
-# How many targets stand at any time; one that ended is replaced under a new id.
+# Number of running targets; a crashed one is replaced under a new id.
 TARGETS = 4
-# By then news has reached every router in touch; the users allow three seconds and more.
-TOLD_SECONDS = 1.0
+# Time by which crash records have reached every connected router; users accept three seconds.
+PROPAGATION_SECONDS = 1.0
 SECRET = ("a secret of these tests",)
 
 
 @define(eq=False)
-class EndingTarget(ScriptedTarget):
-    """A target that ends, with all that runs there, when it begins to run certain requests."""
+class CrashingTarget(ScriptedTarget):
+    """A target that crashes, with all requests running there, when a poison request starts."""
 
     streams: bool = False
-    # Something in front goes on accepting connections after the end, and answers for the target.
-    fronted: bool = False
-    ended: bool = False
+    # A proxy still accepts connections after the crash and answers with errors.
+    behind_proxy: bool = False
+    crashed: bool = False
     _open: set[socket.socket] = field(factory=set)
 
     def serve_one(self, request: Received, sock: socket.socket) -> bool:
-        """Answer a request; work takes a moment, so that others run beside it."""
-        if self.ended:
-            self._answer_in_front(sock)
+        """Answer a request after a short delay, so that requests run concurrently."""
+        if self.crashed:
+            self._answer_as_proxy(sock)
             return True
         if request.line.startswith("GET /health"):
             sock.sendall(health(self.id))
@@ -61,9 +61,9 @@
             sock.sendall(stream_head(request))
             sock.sendall(chunk(event(after + 1)))
         gevent.sleep(0.02)
-        if request.body.startswith(ENDING):
-            self.end()
-        if self.ended:
+        if request.body.startswith(POISON_BODY):
+            self.crash()
+        if self.crashed:
             return True
         if self.streams:
             sock.sendall(b"0\r\n\r\n")
@@ -71,40 +71,40 @@
             sock.sendall(answer(request))
         return False
 
-    def end(self) -> None:
-        """End: break all connections and listen no longer."""
-        self.ended = True
-        if not self.fronted:
+    def crash(self) -> None:
+        """Break all connections and stop listening."""
+        self.crashed = True
+        if not self.behind_proxy:
             self.stop()
         for sock in self._open:
             with suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
         self._open.clear()
 
-    def _answer_in_front(self, sock: socket.socket) -> None:
+    def _answer_as_proxy(self, sock: socket.socket) -> None:
         sock.sendall(b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n")
 
 
 def health(id_: str) -> bytes:
-    """Return the answer of a target that is asked for its health."""
+    """Return a target's answer to a health check."""
     return f"HTTP/1.1 200 OK\r\nLoomyard-Instance-Id: {id_}\r\nContent-Length: 0\r\n\r\n".encode()
 
 
 class RoutersCase(RoutedCase):
-    """Some routers that share the feeds of ``RoutedCase``."""
+    """Three connected routers that share the feeds of ``RoutedCase``."""
 
     def setUp(self) -> None:
         super().setUp()
-        # The first one of the case is told of no others.
+        # The router of ``RoutedCase`` is not connected to others, so it is replaced.
         self.router.stop()
         self.routers = [self.start_router(f"router-{number}") for number in range(3)]
         self.router = self.routers[0]
         self.ids = 0
-        self.all_targets: list[EndingTarget] = []
+        self.all_targets: list[CrashingTarget] = []
 
     def start_router(self, name: str) -> RoutedApplication:
-        """Start one more router, which finds the others at the first one."""
-        running = getattr(self, "routers", None) or getattr(self, "begun", [])
+        """Start one more router, which joins the others by the first one."""
+        running = getattr(self, "routers", None) or getattr(self, "running_routers", [])
         seeds = (running[0].members.own.address,) if running else ()
         router = RoutedApplication(
             RoutedSettings(
@@ -116,7 +116,7 @@
                 seeds=seeds,
                 fleet_secret=SECRET,
                 feed_pace=0.0,
-                # No verdict may hang on how busy the machine is.
+                # Results must not depend on the load of the host.
                 most_lag=math.inf,
                 retries=RetryTerms(ratio=0.2, window=10.0, slack=2000.0),
             ),
@@ -124,8 +124,12 @@
         )
         router.start()
         self.addCleanup(router.stop)
-        self.begun = [*running, router]
-        self.until(lambda: all(len(one.members.live()) == len(self.begun) for one in self.begun))
+        self.running_routers = [*running, router]
+        self.until(
+            lambda: all(
+                len(one.members.live()) == len(self.running_routers) for one in self.running_routers
+            )
+        )
         return router
 
     def serve(
@@ -134,21 +138,21 @@
         *,
         service: str = "plain",
         streams: bool = False,
-        fronted: bool = False,
+        behind_proxy: bool = False,
     ) -> None:
-        """Put a route in force and start targets for it."""
+        """Publish a route and start targets for it."""
         for _ in range(TARGETS):
-            self.add_target(service, streams=streams, fronted=fronted)
+            self.add_target(service, streams=streams, behind_proxy=behind_proxy)
         self.publish(served, services=[ServiceTerms(name="plain", health_path="/health"), ENGINES])
         self.until(lambda: all(router.ready for router in self.routers))
 
     def add_target(
-        self, service: str, *, streams: bool = False, fronted: bool = False
-    ) -> EndingTarget:
+        self, service: str, *, streams: bool = False, behind_proxy: bool = False
+    ) -> CrashingTarget:
         """Start a target under a new id."""
         number = len(self.all_targets)
-        target = EndingTarget(
-            f"t{number}", service, lambda *_: None, streams=streams, fronted=fronted
+        target = CrashingTarget(
+            f"t{number}", service, lambda *_: None, streams=streams, behind_proxy=behind_proxy
         )
         target.script = target.serve_one
         target.start()
@@ -160,7 +164,7 @@
     def ask(
         self, router: RoutedApplication, body: bytes, **headers: str
     ) -> tuple[int, http.client.HTTPMessage | None]:
-        """Ask under a new id; return status and headers, 0 where the connection was closed."""
+        """Send a request with a new id; return status and headers, 0 if the connection closed."""
         self.ids += 1
         with socket.create_connection(("127.0.0.1", router.port), timeout=WAIT) as sock:
             sock.sendall(
@@ -176,41 +180,43 @@
                 return 0, None
             return response.status, response.headers
 
-    def replace_ended(self) -> None:
-        """Let those that ended start again under new ids, as they do some seconds later."""
-        standing = [target for target in self.all_targets if not target.ended]
+    def replace_crashed(self) -> None:
+        """Delete the entries of crashed targets and start others under new ids."""
+        running = [target for target in self.all_targets if not target.crashed]
         for target in self.all_targets:
-            if target.ended and target.id not in self.withdrawn:
+            if target.crashed and target.id not in self.withdrawn:
                 self.withdrawn.add(target.id)
                 self.targets.put(target.id, None)
-        for _ in range(TARGETS - len(standing)):
+        for _ in range(TARGETS - len(running)):
             some = self.all_targets[0]
-            self.add_target(some.service, streams=some.streams, fronted=some.fronted)
+            self.add_target(some.service, streams=some.streams, behind_proxy=some.behind_proxy)
 
-    def forget_ended(self) -> None:
-        """Wait until no router uses a target that ended; several that vanish at once may return."""
-        gone = {target.id for target in self.all_targets if target.ended}
+    def wait_until_unused(self) -> None:
+        """Wait until no router uses a crashed target; entries that vanish together have a grace."""
+        crashed_ids = {target.id for target in self.all_targets if target.crashed}
         service = self.all_targets[0].service
         self.until(
             lambda: not any(
-                target.id in gone for one in self.begun for target in one.registry.usable(service)
+                target.id in crashed_ids
+                for one in self.running_routers
+                for target in one.registry.usable(service)
             )
         )
 
     @property
     def withdrawn(self) -> set[str]:
-        """Return the ids of targets whose announcements were taken away."""
+        """Return the ids of targets whose entries were deleted."""
         if not hasattr(self, "_withdrawn"):
             self._withdrawn: set[str] = set()
         return self._withdrawn
 
     @property
-    def ended(self) -> int:
-        """Return how many targets have ended."""
-        return sum(target.ended for target in self.all_targets)
+    def crashed(self) -> int:
+        """Return how many targets have crashed."""
+        return sum(target.crashed for target in self.all_targets)
 
-    def sent(self, body: bytes) -> int:
-        """Return how often a request reached a target."""
+    def times_sent(self, body: bytes) -> int:
+        """Return how often requests with a body reached a target."""
         return sum(
             request.body == body for target in self.all_targets for request in target.received
         )
--- a/tests/test_loomyard_router/test_crashing/test_crash_exchange.py
+++ b/tests/test_loomyard_router/test_crashing/test_crash_exchange.py
@@ -1,7 +1,7 @@
-"""How soon every router knows of a request that ends targets.
+"""Tests of how soon every router blocks a poison request.
 
-Users excuse what is sent within three seconds of the third end, and routers that were out of touch
-until three seconds after they are back.
+Users accept sends within three seconds after the third crash, and by routers that were partitioned
+until three seconds after they are connected again.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from result import Err
 
 from loomyard_router.crashes.crash_exchange import NEIGHBOURS
-from loomyard_router.crashes.crash_messages import CrashNews, CrashWord
+from loomyard_router.crashes.crash_messages import CrashEntry, CrashUpdate
 from test_loomyard_router.test_crashing.crash_fleet import CrashFleet
 
-GUILTY = "guilty"
-# Well within three seconds, of which the way to a router that was out of touch takes two.
+POISON = "guilty"
+# Less than three seconds; a router that was partitioned needs up to two.
 BOUND = 2.5
 
 
@@ -29,74 +29,74 @@
 
     def test_all_routers_of_a_small_fleet_know_at_once(self) -> None:
         fleet = self.start(7)
-        fleet.block(GUILTY)
+        fleet.block(POISON)
         fleet.run(0.02)
-        self.assertEqual([], fleet.lacking(GUILTY))
+        self.assertEqual([], fleet.not_blocking(POISON))
 
     def test_all_routers_of_large_fleets_know_in_time(self) -> None:
         for count in (60, 360):
             for seed in range(3):
                 with self.subTest(count=count, seed=seed):
                     fleet = self.start(count, seed=seed)
-                    fleet.block(GUILTY)
+                    fleet.block(POISON)
                     fleet.run(BOUND)
-                    self.assertEqual([], fleet.lacking(GUILTY))
+                    self.assertEqual([], fleet.not_blocking(POISON))
 
     def test_a_router_that_starts_later_knows_in_time(self) -> None:
         for count in (2, 7, 60):
             with self.subTest(count=count):
                 fleet = self.start(count, missing=1)
-                fleet.block(GUILTY)
+                fleet.block(POISON)
                 fleet.run(5.0)
                 fleet.start(f"r{count}")
                 fleet.run(BOUND)
-                self.assertEqual([], fleet.lacking(GUILTY))
+                self.assertEqual([], fleet.not_blocking(POISON))
 
-    def test_routers_that_were_cut_off_know_in_time(self) -> None:
+    def test_routers_know_in_time_after_a_partition(self) -> None:
         for seed in range(5):
             with self.subTest(seed=seed):
                 fleet = self.start(8, seed=seed)
                 away, others = {"r5", "r6", "r7"}, {f"r{number}" for number in range(5)}
                 fleet.network.cut(away, others)
-                fleet.block(GUILTY)
+                fleet.block(POISON)
                 fleet.run(5.0)
-                self.assertEqual(sorted(away), sorted(fleet.lacking(GUILTY)))
+                self.assertEqual(sorted(away), sorted(fleet.not_blocking(POISON)))
                 fleet.network.heal()
                 fleet.run(BOUND)
-                self.assertEqual([], fleet.lacking(GUILTY))
+                self.assertEqual([], fleet.not_blocking(POISON))
 
-    def test_two_that_do_not_reach_each_other_hear_through_a_third(self) -> None:
+    def test_records_reach_an_unconnected_router_through_a_third(self) -> None:
         fleet = self.start(3)
         fleet.network.cut({"r0"}, {"r1"})
-        fleet.block(GUILTY)
+        fleet.block(POISON)
         fleet.run(BOUND)
-        self.assertEqual([], fleet.lacking(GUILTY))
+        self.assertEqual([], fleet.not_blocking(POISON))
 
-    def test_lost_and_doubled_messages_do_no_harm(self) -> None:
+    def test_lost_and_duplicated_messages_do_no_harm(self) -> None:
         fleet = self.start(7)
         fleet.network.loss, fleet.network.doubled = 0.5, 0.3
-        fleet.block(GUILTY)
+        fleet.block(POISON)
         fleet.run(BOUND)
-        self.assertEqual([], fleet.lacking(GUILTY))
+        self.assertEqual([], fleet.not_blocking(POISON))
 
-    def test_that_a_request_ran_to_its_end_reaches_all(self) -> None:
+    def test_a_cleared_record_reaches_all(self) -> None:
         fleet = self.start(7)
-        fleet.block(GUILTY)
+        fleet.block(POISON)
         fleet.run(0.1)
-        fleet.routers["r3"].ledger.clear(GUILTY)
+        fleet.routers["r3"].ledger.clear(POISON)
         fleet.run(0.1)
-        self.assertEqual(sorted(fleet.routers), sorted(fleet.lacking(GUILTY)))
+        self.assertEqual(sorted(fleet.routers), sorted(fleet.not_blocking(POISON)))
 
-    def test_a_quiet_fleet_asks_once_a_second_and_sends_no_records(self) -> None:
+    def test_an_idle_fleet_sends_no_records(self) -> None:
         fleet = self.start(7)
-        fleet.block(GUILTY)
+        fleet.block(POISON)
         fleet.run(5.0)
         before = fleet.network.sent_messages
         fleet.run(30.0)
         self.assertEqual(before, fleet.network.sent_messages)
 
-    def test_a_router_of_a_large_fleet_asks_a_few_others_only(self) -> None:
-        """Each other one that is asked costs a link, with its handshake and its memory."""
+    def test_a_router_of_a_large_fleet_queries_few_others(self) -> None:
+        """Each queried router costs a link, with its handshake and memory."""
         fleet = self.start(60)
         exchange = fleet.routers["r0"].exchange
         asked = set()
@@ -106,18 +106,18 @@
             fleet.run(60.0)
         self.assertLessEqual(len(asked), NEIGHBOURS)
 
-    def test_words_that_can_not_be_kept_are_passed_over(self) -> None:
+    def test_invalid_entries_are_ignored(self) -> None:
         fleet = self.start(2)
         router = fleet.routers["r0"]
-        words = [
-            CrashWord(fingerprint="", cleared=0, ends=[], seconds=9),
-            CrashWord(fingerprint="x" * 1000, cleared=0, ends=[], seconds=9),
-            CrashWord(fingerprint="x", cleared=-1, ends=[], seconds=9),
-            CrashWord(fingerprint="x", cleared=0, ends=[(0, "t")], seconds=9),  # type: ignore
-            CrashWord(fingerprint="x", cleared=0, ends=[], seconds=0),
-            CrashWord(fingerprint="x", cleared=0, ends=[(1, "t" * 999)], seconds=9),  # type: ignore
+        entries = [
+            CrashEntry(fingerprint="", cleared=0, crashes=[], remaining_seconds=9),
+            CrashEntry(fingerprint="x" * 1000, cleared=0, crashes=[], remaining_seconds=9),
+            CrashEntry(fingerprint="x", cleared=-1, crashes=[], remaining_seconds=9),
+            CrashEntry(fingerprint="x", cleared=0, crashes=[(0, "t")], remaining_seconds=9),  # type: ignore
+            CrashEntry(fingerprint="x", cleared=0, crashes=[], remaining_seconds=0),
+            CrashEntry(fingerprint="x", cleared=0, crashes=[(1, "t" * 999)], remaining_seconds=9),  # type: ignore
         ]
-        router.exchange.hear(router.members.own, CrashNews(words=words))
+        router.exchange.receive(router.members.own, CrashUpdate(entries=entries))
         self.assertTrue(router.ledger.empty)
 
 
--- a/tests/test_loomyard_router/test_crashing/test_life_probe.py
+++ b/tests/test_loomyard_router/test_crashing/test_liveness_probe.py
@@ -1,4 +1,4 @@
-"""Tests of the signs by which a target is known to have ended, or not to have."""
+"""Tests of how a target is found to have ended, by a probe or by later evidence."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from loomyard_router.announced.target_notice import TargetNotice
 from loomyard_router.announced.target_registry import TargetRegistry
 from loomyard_router.crashes import liveness_probe
-from loomyard_router.crashes.late_verdicts import (
-    LATEST_SECONDS,
-    TOGETHER_SECONDS,
-    BrokenRequest,
-    LateVerdicts,
+from loomyard_router.crashes.late_crash_detector import (
+    MAX_DELAY_SECONDS,
+    SIMULTANEOUS_SECONDS,
+    FailedAttempt,
+    LateCrashDetector,
 )
 from loomyard_router.crashes.liveness_probe import LivenessProbe
 from loomyard_router.platform.targets import PlatformTargets
@@ -32,16 +32,16 @@
 if TYPE_CHECKING:
     import socket
 
-LIFE, OTHER = TargetIncarnation("t"), TargetIncarnation("u")
-# No verdict may hang on how busy the machine is.
-PATIENCE = 10.0
-ASKED = 20
+INCARNATION, OTHER = TargetIncarnation("t"), TargetIncarnation("u")
+# Results must not depend on the load of the host.
+TIMEOUT = 10.0
+PROBES = 20
 
 
-class LifeProbeTest(unittest.TestCase):
+class LivenessProbeTest(unittest.TestCase):
     def setUp(self) -> None:
         for name in ("CONNECT_SECONDS", "ANSWER_SECONDS"):
-            self.set(name, PATIENCE)
+            self.set(name, TIMEOUT)
         holder = TableHolder(
             lambda _: Ok(
                 make_route_table(
@@ -69,13 +69,13 @@
         self.addCleanup(patch.stop)
 
     def start(self, data: bytes) -> ScriptedTarget:
-        """Start what answers each question with some bytes, and closes without any."""
+        """Start a target that answers with some bytes, or closes the connection for none."""
 
-        def say(_: Received, sock: socket.socket) -> bool:
+        def respond(_: Received, sock: socket.socket) -> bool:
             sock.sendall(data)
             return not data
 
-        target = ScriptedTarget("t", "plain", say)
+        target = ScriptedTarget("t", "plain", respond)
         target.start()
         self.addCleanup(target.stop)
         return target
@@ -83,37 +83,37 @@
     def has_ended(self, data: bytes) -> bool:
         return self.probe.has_ended(self.start(data).announced())
 
-    def test_one_that_answers_by_its_id_lives(self) -> None:
+    def test_a_target_that_answers_with_its_id_has_not_ended(self) -> None:
         self.assertFalse(self.has_ended(health("t")))
 
-    def test_another_life_or_an_error_of_what_stands_in_front_tells_the_end(self) -> None:
+    def test_another_instance_or_a_proxy_error_shows_the_end(self) -> None:
         self.assertTrue(self.has_ended(health("another")))
         for status in ("502 Bad Gateway", "504 Gateway Timeout"):
             data = f"HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n".encode()
             self.assertTrue(self.has_ended(data), status)
 
-    def test_a_full_one_a_closed_connection_and_silence_tell_nothing(self) -> None:
+    def test_a_refusal_a_closed_connection_and_a_timeout_prove_nothing(self) -> None:
         self.assertFalse(self.has_ended(refusal(Received("GET /health", {}, b""))))
         self.assertFalse(self.has_ended(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"))
         self.assertFalse(self.has_ended(b""))
         self.set("ANSWER_SECONDS", 0.1)
         self.assertFalse(self.has_ended(b"HTTP/1.1 200 "))
 
-    def test_a_refused_connection_tells_the_end(self) -> None:
+    def test_a_refused_connection_shows_the_end(self) -> None:
         target = self.start(b"")
         announced = target.announced()
         target.stop()
         self.assertTrue(self.probe.has_ended(announced))
 
-    def test_what_a_target_says_of_itself_in_its_answer_is_heard(self) -> None:
-        for id_, heard in (("t", True), ("another", False)):
+    def test_the_notice_in_a_health_answer_is_applied(self) -> None:
+        for id_, applied in (("t", True), ("another", False)):
             with self.subTest(id=id_):
                 answer = health(id_).replace(b"\r\n\r\n", b"\r\nServer-Leaving: 1\r\n\r\n")
                 target = self.start(answer).announced(born=len(id_))
                 self.probe.has_ended(target)
-                self.assertEqual(heard, self.registry.notices.is_leaving(target.incarnation))
+                self.assertEqual(applied, self.registry.notices.is_leaving(target.incarnation))
 
-    def test_a_target_that_asked_for_rest_is_asked_nothing(self) -> None:
+    def test_a_target_in_backoff_gets_no_health_check(self) -> None:
         target = self.start(health("t"))
         self.registry.apply_notice(target.announced(), TargetNotice(backoff_seconds=60.0))
         self.assertFalse(self.probe.has_ended(target.announced()))
@@ -121,50 +121,50 @@
         target.stop()
         self.assertTrue(self.probe.has_ended(target.announced()))
 
-    def test_questions_are_few_where_many_answers_are_lost(self) -> None:
+    def test_health_checks_are_rate_limited_when_many_answers_are_lost(self) -> None:
         target = self.start(health("t"))
-        for _ in range(ASKED):
+        for _ in range(PROBES):
             self.assertFalse(self.probe.has_ended(target.announced()))
-        self.assertLess(len(target.received), ASKED / 2)
+        self.assertLess(len(target.received), PROBES / 2)
 
 
-class LateVerdictsTest(unittest.TestCase):
+class LateCrashDetectorTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = FakeClock()
-        self.late = LateVerdicts(self.clock)
+        self.detector = LateCrashDetector(self.clock)
 
     def break_off(self, *names: str, answered: bool = True) -> None:
         for name in names:
-            self.late.note_broken(LIFE, BrokenRequest(name, 1), answered=answered)
+            self.detector.record_failure(INCARNATION, FailedAttempt(name, 1), answered=answered)
 
     def blamed(self, known: set[TargetIncarnation]) -> set[str]:
-        return {broken.fingerprint for _, broken in self.late.take_ended(known)}
+        return {broken.fingerprint for _, broken in self.detector.pop_crashed(known)}
 
-    def test_all_that_broke_together_is_blamed_once_the_entry_vanishes(self) -> None:
+    def test_attempts_that_failed_together_are_blamed_once_after_the_entry_vanishes(self) -> None:
         self.break_off("guilty", "beside")
-        self.clock.advance(2 * TOGETHER_SECONDS)
+        self.clock.advance(2 * SIMULTANEOUS_SECONDS)
         self.break_off("in vain", answered=False)
-        self.assertEqual(set(), self.blamed({LIFE, OTHER}))
+        self.assertEqual(set(), self.blamed({INCARNATION, OTHER}))
         self.assertEqual({"guilty", "beside"}, self.blamed({OTHER}))
         self.assertEqual(set(), self.blamed({OTHER}), "once")
 
-    def test_a_target_that_only_lost_an_answer_is_not_blamed_on_anybody(self) -> None:
+    def test_a_lost_answer_of_a_live_target_blames_no_request(self) -> None:
         self.break_off("unlucky")
         self.clock.advance(1.0)
-        self.late.note_heard(LIFE)
+        self.detector.record_response(INCARNATION)
         self.break_off("later", answered=False)
         self.assertEqual(set(), self.blamed(set()))
 
-    def test_one_that_leaves_after_a_lost_answer_is_not_taken_for_ended(self) -> None:
+    def test_a_target_that_leaves_after_a_lost_answer_does_not_count_as_crashed(self) -> None:
         self.break_off("unlucky")
         self.clock.advance(1.0)
         self.assertEqual(set(), self.blamed(set()), "no later attempt failed there")
 
-    def test_a_word_that_comes_much_later_is_of_another_end(self) -> None:
+    def test_an_entry_that_vanishes_much_later_blames_no_request(self) -> None:
         self.break_off("unlucky")
         self.clock.advance(1.0)
         self.break_off("in vain", answered=False)
-        self.clock.advance(LATEST_SECONDS)
+        self.clock.advance(MAX_DELAY_SECONDS)
         self.assertEqual(set(), self.blamed(set()))
 
 
