--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_exchange.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_exchange.py
@@ -61,7 +61,7 @@
         self._ledger = ledger
         self._members = members
         self._peers = peers
-        self._random = source
+        self._rng = source
         self._updates: dict[str, CrashRecord] = {}
         self._applying_push = False
         self._send_scheduled = False
@@ -109,7 +109,7 @@
             return
         query = CrashQuery(digest=self._ledger.digest)
         deadline = self._clock.now() + ANSWER_SECONDS
-        match self._peers.request(self._random.choice(candidates), query, deadline):
+        match self._peers.request(self._rng.choice(candidates), query, deadline):
             case Ok(CrashUpdate() as update):
                 # Forwarded like own records: a push that missed this router may have missed others.
                 self._apply(update)
@@ -135,7 +135,7 @@
         updates, self._updates = self._updates, {}
         message = self._make_update(updates.values())
         others = self._others()
-        for name in self._random.sample(others, min(FANOUT, len(others))):
+        for name in self._rng.sample(others, min(FANOUT, len(others))):
             self._peers.send(name, message)
 
     def _make_update(self, records: Iterable[CrashRecord]) -> CrashUpdate:
@@ -160,13 +160,13 @@
             gevent.spawn(self._query_joined)
 
     def _query_joined(self) -> None:
-        self._clock.sleep(self._random.uniform(0.0, QUERY_JITTER_SECONDS))
+        self._clock.sleep(self._rng.uniform(0.0, QUERY_JITTER_SECONDS))
         self._query_scheduled = False
         joined, self._joined = self._joined, frozenset()
         self.query(joined)
 
     def _run(self) -> None:
         while True:
-            self._clock.sleep(QUERY_SECONDS * self._random.uniform(0.8, 1.2))
+            self._clock.sleep(QUERY_SECONDS * self._rng.uniform(0.8, 1.2))
             self._ledger.expire()
             self.query()
--- a/packages/loomyard-router/src/loomyard_router/relays/__init__.py
+++ b/packages/loomyard-router/src/loomyard_router/relays/__init__.py
@@ -1,1 +1,1 @@
-"""Answers on their way from target to caller."""
+"""Relay of answers from target to caller."""
--- a/packages/loomyard-router/src/loomyard_router/relays/stream_relay.py
+++ b/packages/loomyard-router/src/loomyard_router/relays/stream_relay.py
@@ -1,4 +1,4 @@
-"""Relay of one stream, resumed at the engine where it breaks off."""
+"""Relay of one stream, resumed at the engine after a lost connection."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class StreamRelay:
-    """Read whole events of one attempt."""
+    """Reads complete events of one attempt; resumes it up to ``MAX_RESUMES`` times."""
 
     def __init__(self, answer: TargetAnswer, stream: EventStream, resume: Resume) -> None:
         self.stream = stream
@@ -29,7 +29,7 @@
         self._resumes = 0
 
     def read(self) -> Result[bytes, Fault]:
-        """Return the next whole events; empty after the final one.
+        """Return the next complete events; empty after the final one.
 
         Errors: ``ANSWER_INCOMPLETE``, ``ANSWER_INVALID``, ``STREAM_GONE``.
         """
@@ -40,27 +40,27 @@
                 case Ok(data):
                     events = self.stream.feed(data)
                     if events is None:
-                        return Err(_invalid("events are missing or have no end"))
+                        return Err(_invalid("events are missing or too long"))
                     if events:
                         return Ok(events)
                     continue
                 case Err(fault):
                     broken = fault
-            match self._mend(broken):
+            match self._resume_stream(broken):
                 case Err(fault):
                     return Err(fault)
         return Ok(b"")
 
     def finish(self) -> None:
-        """Read past the final event, so that the connection can be used again."""
+        """Read to the end of the answer, so that the connection can be reused."""
         while self._answer.read().unwrap_or(b""):
             pass
 
     def close(self) -> None:
-        """Give up the connection; a task that reads gets an error."""
+        """Close the connection; a pending read fails."""
         self._answer.close()
 
-    def _mend(self, broken: Fault) -> Result[None, Fault]:
+    def _resume_stream(self, broken: Fault) -> Result[None, Fault]:
         self._answer.close()
         while self._resumes < MAX_RESUMES:
             self._resumes += 1
--- a/packages/loomyard-router/src/loomyard_router/relays/usage.py
+++ b/packages/loomyard-router/src/loomyard_router/relays/usage.py
@@ -1,4 +1,4 @@
-"""Usage as a target counted it."""
+"""Token usage as reported by a target."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @frozen
 class Usage:
-    """Prompt tokens and generated tokens."""
+    """Number of prompt tokens and of generated tokens."""
 
     prompt: int
     completion: int
 
 
 def find_usage(tail: bytes) -> Usage | None:
-    """Read the last usage object in the tail of an answer."""
+    """Return the last usage object in the tail of an answer, ``None`` if absent or invalid."""
     found = list(_USAGE.finditer(tail))
     if not found:
         return None
