--- a/packages/loomyard-router/src/loomyard_router/announced/announced_target.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/announced_target.py
@@ -12,8 +12,8 @@
 class AnnouncedTarget:
     """A target as it last announced itself; ``address`` is ``host:port``.
 
-    ``born`` is the start of this incarnation in Unix milliseconds, ``None`` for targets that do not
-    tell it and have a new id at each start. ``cold_seconds`` is how long the target stays cold
+    ``born`` is the start of this incarnation in Unix milliseconds, ``None`` for targets that don't
+    announce it and have a new id at each start. ``cold_seconds`` is how long the target stays cold
     after the announcement, whose place in the feed is ``position``.
     """
 
--- a/packages/loomyard-router/src/loomyard_router/announced/target_notices.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_notices.py
@@ -44,9 +44,9 @@
         """Return from how many targets this router backs off now."""
         return len(self._backoffs.names)
 
-    def subscribe(self, left: Callable[[TargetIncarnation], None]) -> None:
+    def subscribe(self, listener: Callable[[TargetIncarnation], None]) -> None:
         """Call back with each incarnation that told this router it leaves; must not block."""
-        self._listeners.append(left)
+        self._listeners.append(listener)
 
     def is_leaving(self, incarnation: TargetIncarnation) -> bool:
         """Return whether an incarnation said that it leaves."""
@@ -62,8 +62,8 @@
         if leaves:
             self.leaving_count += 1
             emit(logger, Event.TARGET_SAYS_LEAVING, target=target.id, service=target.service)
-            for left in self._listeners:
-                left(target.incarnation)
+            for listener in self._listeners:
+                listener(target.incarnation)
         backs_off = notice.backoff_seconds > 0.0 and self._record_backoff(
             target, notice.backoff_seconds
         )
--- a/packages/loomyard-router/src/loomyard_router/announced/target_registry.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_registry.py
@@ -45,8 +45,8 @@
     A target gets no new requests while it drains, is in an evacuated data centre, said in an answer
     that it leaves or asked to back off (the store may learn of that late or never), even if no
     other target is left: a request that did not run is safe to refuse. Nor does one whose entry
-    vanished, but entries that vanish in a store outage, or half of a service together, have a grace
-    in which they may be written again.
+    vanished. Only if the store may have lost it, in an outage or together with half of the entries
+    of its service, the target stays usable for a grace period in which it may write it again.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -89,10 +89,7 @@
         return target.incarnation in self._usable_incarnations
 
     def is_withdrawn(self, incarnation: TargetIncarnation) -> bool:
-        """Return whether no router may send an incarnation new requests.
-
-        A back-off does not count, as it binds this router alone.
-        """
+        """Return whether no router may use an incarnation; back-offs bind single routers."""
         return incarnation in self._by_incarnation and incarnation not in self._open_incarnations
 
     def is_backing_off(self, target: AnnouncedTarget) -> bool:
@@ -246,7 +243,7 @@
             len(recent) + left
         )
         if self._store_down and not by_peer:
-            until = math.inf  # bounded by ``note_store_back``
+            until = math.inf  # shortened when the store answers again
         elif now - self._store_back_at < RETURN_SECONDS:
             until = self._store_back_at + RETURN_SECONDS
         elif together:
@@ -264,8 +261,8 @@
     def _refresh(self) -> None:
         now = self._clock.now()
         for id_, lapsed in list(self._lapsed.items()):
-            over = lapsed.usable_until <= now and not self._store_down
-            if over and now - lapsed.vanished_at > RETURN_SECONDS:
+            expired = lapsed.usable_until <= now and not self._store_down
+            if expired and now - lapsed.vanished_at > RETURN_SECONDS:
                 del self._lapsed[id_]
                 self._cold_until.pop(id_, None)
         usable: dict[str, list[AnnouncedTarget]] = {}
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_exchange.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_exchange.py
@@ -75,7 +75,7 @@
 
     def start(self) -> None:
         """Start the periodic queries."""
-        self._members.subscribe(self._note_joined)
+        self._members.subscribe(self._on_members_changed)
         self._members.subscribe_pause(lambda _: self._schedule_query())
         self._task = gevent.spawn(self._run)
 
@@ -146,7 +146,7 @@
         own = self._members.own.name
         return [member.name for member in self._members.live() if member.name != own]
 
-    def _note_joined(self) -> None:
+    def _on_members_changed(self) -> None:
         """Schedule a query to routers that joined, as they may have more records."""
         known = frozenset(self._others())
         joined, self._known_routers = known - self._known_routers, known
--- a/packages/loomyard-router/src/loomyard_router/crashes/late_crash_detector.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/late_crash_detector.py
@@ -76,7 +76,11 @@
     def pop_crashed(
         self, known: set[TargetIncarnation]
     ) -> Iterable[tuple[TargetIncarnation, FailedAttempt]]:
-        """Yield the attempts at crashed incarnations, once each, given those still listed."""
+        """Yield the attempts that failed at crashed incarnations, once each.
+
+        ``known`` holds the listed incarnations. One crashed if it is not listed any more and a
+        later attempt there failed without an answer.
+        """
         oldest = self._clock.now() - MAX_DELAY_SECONDS
         for incarnation in self._suspected.keys() - known:
             suspected = self._suspected.pop(incarnation)
--- a/packages/loomyard-router/src/loomyard_router/targets/choosing.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/choosing.py
@@ -46,9 +46,9 @@
 ) -> Target | None:
     """Return the target for a request, ``None`` where no candidate has a free slot.
 
-    Without a prefix, the one with the largest fraction of free slots. Otherwise, among those within
-    ``margin`` of it, a target that caches the prefix; ties go by rendezvous hash of the prefix, so
-    that routers without cache information still send equal prefixes to the same target.
+    Without a prefix, the one with the largest fraction of free slots. Otherwise one of those within
+    ``margin`` of it, preferably one that caches the prefix; among several the rendezvous hash of
+    the prefix decides, so that routers without cache information choose the same target.
     """
     free = [candidate for candidate in candidates if candidate.free > 0]
     if not free:
--- a/packages/loomyard-router/src/loomyard_router/targets/health.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/health.py
@@ -13,7 +13,7 @@
     from loomyard.clock import Clock
 
 FAILURES_TO_EJECT = 3
-# Seconds until an ejected target is probed.
+# Seconds until an ejected target is probed; doubled after each failed probe or trial.
 FIRST_BACKOFF = 1.0
 MAX_BACKOFF = 30.0
 MAX_EJECTED_FRACTION = 0.5
--- a/packages/loomyard-router/src/loomyard_router/targets/known_targets.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/known_targets.py
@@ -230,7 +230,7 @@
         for name in usable:
             for service in self._targets[name].services:
                 pools.setdefault(service, set()).add(name)
-        # Ejection leaves targets of each service; back-offs apply even if no target remains.
+        # Ejection always leaves some targets of a service; back-offs apply even if none remains.
         self._sendable = usable - self._health.ejected(pools) - self._backoffs.names
         self._notify()
 
--- a/packages/loomyard-router/src/loomyard_router/targets/leaving_ledger.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/leaving_ledger.py
@@ -28,7 +28,7 @@
 
 
 class LeavingLedger:
-    """Leaving state by name: entered at once, left only after the lag of its source has passed.
+    """Leaving state by name: set at once, cleared only after the lag of its source has passed.
 
     ``hold`` (s) must exceed the lag of the source; it doubles after each return that proved wrong.
     ``expiry`` is the time (s) without observations after which "leaving" ends, ``None`` for never.
