--- a/packages/loomyard-router/src/loomyard_router/feeds/__init__.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/__init__.py
@@ -1,1 +1,1 @@
-"""Feeds of keyed records that the platform keeps, and following them."""
+"""Feeds of keyed records from the platform's store, and the code that follows them."""
--- a/packages/loomyard-router/src/loomyard_router/feeds/exchange_messages.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/exchange_messages.py
@@ -1,10 +1,10 @@
-"""Messages by which routers tell each other what a feed says."""
+"""Messages by which routers pass on the records of a feed."""
 
 from __future__ import annotations
 
 from attrs import field, frozen
 
-from loomyard_router.feeds.believed_records import HeldRecord
+from loomyard_router.feeds.effective_records import RetainedRecord
 from loomyard_router.feeds.feed_position import NO_POSITION, FeedPosition
 from loomyard_router.feeds.keyed_record import KeyedRecord
 from loomyard_router.peers.message_types import peer_message
@@ -13,44 +13,45 @@
 @peer_message("fr")
 @frozen(kw_only=True)
 class FeedRequest:
-    """Ask for a feed, if the receiver has read beyond a position.
+    """Ask for the records of a feed from a position on, to be answered at once.
 
-    ``era`` is the newest era of the store that the sender has heard of.
+    ``era`` is the newest era of the store that the sender knows.
     """
 
     feed: str
-    beyond: FeedPosition
+    since: FeedPosition
     era: int = 0
 
 
 @peer_message("fw")
 @frozen(kw_only=True)
-class FeedWait:
-    """Ask for a feed as soon as the receiver has read beyond a position; ``wait`` in milliseconds.
+class FeedPoll:
+    """Long poll for the records of a feed from a position on, for up to ``wait`` milliseconds.
 
-    ``answering`` is what the sender believes of the store; a change of that is an answer, too.
+    ``store_available`` is whether the store answers, as far as the sender knows; a receiver that
+    finds otherwise answers at once.
     """
 
     feed: str
-    beyond: FeedPosition
+    since: FeedPosition
     wait: int
-    answering: bool = True
+    store_available: bool = True
     era: int = 0
 
 
 @peer_message("fa")
 @frozen(kw_only=True)
 class FeedAnswer:
-    """The newest record of each key up to a position; none where nothing newer is known.
+    """The newest record of each key up to a position; empty where nothing newer is known.
 
-    ``answering`` tells whether the store answers the sender, ``held`` what the sender believes
-    against the store since that came back from an older copy. With ``changes`` the records are only
-    those that changed since the position that was asked for, ``None`` in them for dropped keys.
+    ``store_available`` tells whether the store answers the sender, ``retained`` which records
+    override the store there since its rollback. With ``is_delta`` the records are only those that
+    changed since the requested position; the value of a deleted key is ``None``.
     """
 
     position: FeedPosition = NO_POSITION
     records: list[KeyedRecord] = field(factory=list)
-    answering: bool = True
+    store_available: bool = True
     era: int = 0
-    held: list[HeldRecord] = field(factory=list)
-    changes: bool = False
+    retained: list[RetainedRecord] = field(factory=list)
+    is_delta: bool = False
--- a/packages/loomyard-router/src/loomyard_router/feeds/fan_out_consumer.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/fan_out_consumer.py
@@ -1,4 +1,4 @@
-"""Several takers of one feed."""
+"""Several consumers of one feed."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 @frozen
 class FanOutConsumer:
-    """Give all that a feed says to each taker, in their order."""
+    """Pass each call on to several consumers, in their order."""
 
-    takers: tuple[RecordConsumer, ...]
+    consumers: tuple[RecordConsumer, ...]
 
     def apply_listing(self, records: list[KeyedRecord], source: str) -> None:
-        for taker in self.takers:
-            taker.apply_listing(records, source)
+        for consumer in self.consumers:
+            consumer.apply_listing(records, source)
 
     def apply_records(self, records: list[KeyedRecord], source: str = STORE) -> None:
-        for taker in self.takers:
-            taker.apply_records(records, source)
+        for consumer in self.consumers:
+            consumer.apply_records(records, source)
 
     def on_store_lost(self) -> None:
-        for taker in self.takers:
-            taker.on_store_lost()
+        for consumer in self.consumers:
+            consumer.on_store_lost()
 
     def on_store_recovered(self) -> None:
-        for taker in self.takers:
-            taker.on_store_recovered()
+        for consumer in self.consumers:
+            consumer.on_store_recovered()
--- a/packages/loomyard-router/src/loomyard_router/feeds/feed.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/feed.py
@@ -14,13 +14,13 @@
 
     from loomyard.errors import Fault
 
-# What an answer may take beyond the wait that was asked for, in seconds; a slow store takes 0.4.
+# Seconds an answer may take beyond the end of a long poll; a slow store takes 0.4.
 ANSWER_MARGIN_SECONDS = 1.0
 
 
 @frozen(kw_only=True)
 class Listing:
-    """The newest record of each key; changes since ``position`` may be missing."""
+    """The newest record of each key; changes at or after ``position`` may be missing."""
 
     records: list[KeyedRecord] = field(factory=list)
     position: FeedPosition
@@ -28,10 +28,10 @@
 
 @frozen(kw_only=True)
 class Batch:
-    """Records in order, and the position to read on from.
+    """Records in order, and the position from which to read on.
 
-    That of a later era than was asked for says that the store came back from an older copy: the
-    records are none of those that were asked for.
+    A position in a later era than that of the request means that the store was rolled back to an
+    older copy; the records are then not those that were requested.
     """
 
     records: list[KeyedRecord] = field(factory=list)
@@ -39,7 +39,7 @@
 
 
 class Feed(Protocol):
-    """Records by key, the newest of which are kept for good.
+    """A compacted log of keyed records: the newest record of each key is never trimmed.
 
     Errors: ``LOG_UNAVAILABLE``; reads also ``LOG_TRIMMED`` where the records are gone.
     """
@@ -49,10 +49,10 @@
         """Return the name for logs."""
 
     def fetch_listing(self, deadline: float) -> Result[Listing, Fault]:
-        """Return the newest record of each key, all of one era."""
+        """Fetch the newest record of each key, all of one era."""
 
     def read(self, offset: int, wait_until: float) -> Result[Batch, Fault]:
-        """Return records from an offset on, waiting for the first until a time.
+        """Read the records from an offset on, waiting until a time for the first one.
 
-        Error: ``LOG_UNAVAILABLE`` at the latest ``ANSWER_SECONDS`` after that time.
+        Error: ``LOG_UNAVAILABLE`` at the latest ``ANSWER_MARGIN_SECONDS`` after that time.
         """
--- a/packages/loomyard-router/src/loomyard_router/feeds/feed_exchange.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/feed_exchange.py
@@ -1,4 +1,4 @@
-"""Hear from other routers what the store does not say to this one."""
+"""Exchange the records of feeds with other routers, so that not each has to reach the store."""
 
 from __future__ import annotations
 
@@ -9,40 +9,42 @@
 
 from loomyard.rendezvous import rank
 from loomyard.util.waiting import wait_any
-from loomyard_router.feeds.exchange_messages import FeedAnswer, FeedRequest, FeedWait
-from loomyard_router.feeds.feed_asker import MILLISECONDS, REQUEST_SECONDS, FeedAsker
-from loomyard_router.feeds.feed_position import NO_POSITION, read_position
+from loomyard_router.feeds.exchange_messages import FeedAnswer, FeedPoll, FeedRequest
+from loomyard_router.feeds.feed_position import NO_POSITION, decode_position
 from loomyard_router.feeds.feed_readers import choose_readers
+from loomyard_router.feeds.peer_fetcher import MILLISECONDS, REQUEST_SECONDS, PeerFetcher
 
 if TYPE_CHECKING:
     import random
     from collections.abc import Iterable
 
     from loomyard.clock import Clock
-    from loomyard_router.feeds.believed_records import HeldRecord
+    from loomyard_router.feeds.effective_records import RetainedRecord
     from loomyard_router.feeds.feed_follower import FeedFollower
     from loomyard_router.feeds.feed_state import FeedState
     from loomyard_router.members.membership import Member, Membership
     from loomyard_router.peers.links import PeerLinks
 
 TOPIC = "feed"
-ANNOUNCED_SECONDS = 60.0
-# A wait is short, so that a reader that stands still is noticed within a configuration's bound.
-NEWS_SECONDS = 1.0
-OWN_SECONDS = 5.0
-# Of those that wait at a reader whose read is late, as many read the store themselves at once, and
-# the others when it is overdue. Where no reader has the store, a change reaches the last of 19, 24
-# or 60 routers within 1.9 s, and within 2.4 to 2.9 s without them (stepped time, three seeds each),
-# as the few that have the store learn of it late.
-LOOKERS = 2
+ANNOUNCEMENT_SECONDS = 60.0
+# A poll of a reader is short, so that a paused reader is noticed within the bound on the time until
+# a configuration is in force everywhere.
+READER_POLL_SECONDS = 1.0
+# For how long a router reads the store itself after its reader failed.
+DIRECT_READ_SECONDS = 5.0
+# Of the routers that poll a reader whose read is late, so many are sent to the store at once, and
+# the others when the read is overdue. Where no reader reaches the store, a change then reaches the
+# last of 19 to 60 routers within 1.9 s; without early reads it takes 2.4 to 2.9 s, as the few
+# routers that do reach the store read the change late.
+MAX_EARLY_READS = 2
 
 
 class FeedExchange:
-    """Announce how far feeds were read, answer others, and hear from them.
+    """Announce how far feeds were read, answer other routers and get records from them.
 
     One router that reaches the store is enough for all. In a large fleet only some routers read the
-    store; each of the others waits at one of them for news, so calls to the store grow with the
-    root of its size.
+    store and each of the others polls one of these, so that calls to the store grow with the square
+    root of the fleet's size.
     """
 
     def __init__(
@@ -58,130 +60,130 @@
         self._members = members
         self._peers = peers
         self._followers = {follower.name: follower for follower in followers}
-        self._askers = {
-            name: FeedAsker(
-                clock=clock, members=members, peers=peers, follower=follower, source=source
+        self._fetchers = {
+            name: PeerFetcher(
+                clock=clock, members=members, peers=peers, follower=follower, rng=source
             )
             for name, follower in self._followers.items()
         }
-        self._moved = GeventEvent()
-        self._own_until: dict[str, float] = {}
-        # How many were sent to look, by the beginning of the read that was late.
-        self._looking: dict[str, tuple[float, int]] = {}
-        peers.handle(FeedRequest, self.give)
-        peers.handle(FeedWait, self.give_news)
+        self._changed = GeventEvent()
+        self._read_store_until: dict[str, float] = {}
+        # By feed: the start of the read that is late, and how many routers were sent to the store.
+        self._early_reads: dict[str, tuple[float, int]] = {}
+        peers.handle(FeedRequest, self.answer_request)
+        peers.handle(FeedPoll, self.answer_poll)
 
     def start(self) -> None:
-        """Start to announce and to ask."""
+        """Start to announce positions and to fetch from peers."""
         for follower in self._followers.values():
             follower.subscribe(self._announce)
-            follower.subscribe_store(self._wake)
-            follower.read_through(self)
-        self._members.subscribe_topic(TOPIC, self._hear)
-        for asker in self._askers.values():
-            asker.start()
+            follower.subscribe_store(self._wake_polls)
+            follower.set_peer_source(self)
+        self._members.subscribe_topic(TOPIC, self._receive_announcement)
+        for fetcher in self._fetchers.values():
+            fetcher.start()
 
     def stop(self) -> None:
-        """End."""
-        for asker in self._askers.values():
-            asker.stop()
+        """End the tasks."""
+        for fetcher in self._fetchers.values():
+            fetcher.stop()
 
     def states(self) -> list[FeedState]:
-        """Return how far this router has come in each feed."""
-        return [asker.state for asker in self._askers.values()]
+        """Return how far this router has read each feed."""
+        return [fetcher.state for fetcher in self._fetchers.values()]
 
-    def give(self, _: Member, request: FeedRequest) -> FeedAnswer:
-        """Answer another router at once."""
+    def answer_request(self, _: Member, request: FeedRequest) -> FeedAnswer:
+        """Answer another router with what this one has, without waiting."""
         follower = self._followers.get(request.feed)
         if follower is None:
-            return FeedAnswer(answering=False)
+            return FeedAnswer(store_available=False)
         follower.era.observe(request.era)
-        newer = follower.position > request.beyond
-        changes = follower.changes_since(request.beyond) if newer else []
+        newer = follower.position > request.since
+        changes = follower.changes_since(request.since) if newer else []
         return FeedAnswer(
             position=follower.position if newer else NO_POSITION,
             records=follower.records if changes is None else changes,
-            answering=_has_store(follower),
+            store_available=_reaches_store(follower),
             era=follower.era.newest,
-            held=follower.held,
-            changes=changes is not None,
+            retained=follower.retained,
+            is_delta=changes is not None,
         )
 
-    def give_news(self, sender: Member, request: FeedWait) -> FeedAnswer:
-        """Answer a router that waits for news here."""
+    def answer_poll(self, sender: Member, request: FeedPoll) -> FeedAnswer:
+        """Answer a long poll of another router."""
         follower = self._followers.get(request.feed)
         deadline = self._clock.now() + request.wait / MILLISECONDS
         if follower is not None:
             follower.era.observe(request.era)
         while (
             follower is not None
-            and follower.position <= request.beyond
-            and _has_store(follower) == request.answering
+            and follower.position <= request.since
+            and _reaches_store(follower) == request.store_available
             and self._clock.now() < deadline
         ):
-            if self._sends_to_look(follower):
-                return FeedAnswer(answering=False)
-            # Who waits hears of a read that hangs as soon as it seems to.
-            until = deadline if follower.hangs else min(deadline, follower.overdue_at)
+            if self._claim_early_read(follower):
+                return FeedAnswer(store_available=False)
+            # Wake as soon as the read is late or overdue, to tell the polling router.
+            until = deadline if follower.read_overdue else min(deadline, follower.overdue_at)
             if self._clock.now() < follower.late_at:
                 until = min(until, follower.late_at)
-            wait_any([self._moved], until, self._clock)
-        return self.give(sender, FeedRequest(feed=request.feed, beyond=request.beyond))
+            wait_any([self._changed], until, self._clock)
+        return self.answer_request(sender, FeedRequest(feed=request.feed, since=request.since))
 
-    def ask_held(self, follower: FeedFollower) -> list[HeldRecord]:
-        """Ask other routers what they believe against the store."""
-        return self._askers[follower.name].ask_held()
+    def fetch_retained(self, follower: FeedFollower) -> list[RetainedRecord]:
+        """Fetch the records that override the store at other routers."""
+        return self._fetchers[follower.name].fetch_retained()
 
-    def _sends_to_look(self, follower: FeedFollower) -> bool:
-        """Tell whether one that waits is to look for itself whether the store answers it."""
+    def _claim_early_read(self, follower: FeedFollower) -> bool:
+        """Tell whether a polling router is to read the store itself, and count it if so."""
         if not follower.late_at <= self._clock.now() < follower.overdue_at:
             return False
-        read, looking = self._looking.get(follower.name, (-1.0, 0))
-        looking = looking if read == follower.asked_at else 0
-        if looking >= LOOKERS:
+        read_started_at, count = self._early_reads.get(follower.name, (-1.0, 0))
+        count = count if read_started_at == follower.call_started_at else 0
+        if count >= MAX_EARLY_READS:
             return False
-        self._looking[follower.name] = (follower.asked_at, looking + 1)
+        self._early_reads[follower.name] = (follower.call_started_at, count + 1)
         return True
 
-    def wait_for_news(self, follower: FeedFollower) -> FeedAnswer | None:
-        """Wait at a router that reads the store; ``None`` where this one reads it itself."""
-        if self._clock.now() < self._own_until.get(follower.name, 0.0):
+    def poll(self, follower: FeedFollower) -> FeedAnswer | None:
+        """Poll a router that reads the store; ``None`` where this one is to read it itself."""
+        if self._clock.now() < self._read_store_until.get(follower.name, 0.0):
             return None
         own = self._members.own.name
         readers = choose_readers(follower.name, [member.name for member in self._members.live()])
         if own in readers:
             return None
-        request = FeedWait(
+        request = FeedPoll(
             feed=follower.name,
-            beyond=follower.position,
-            wait=int(NEWS_SECONDS * MILLISECONDS),
-            answering=follower.answering,
+            since=follower.position,
+            wait=int(READER_POLL_SECONDS * MILLISECONDS),
+            store_available=follower.answering,
             era=follower.era.newest,
         )
         reader = rank(own, readers)[0]
-        deadline = self._clock.now() + NEWS_SECONDS + REQUEST_SECONDS
+        deadline = self._clock.now() + READER_POLL_SECONDS + REQUEST_SECONDS
         match self._peers.request(reader, request, deadline):
-            case Ok(FeedAnswer() as answer) if answer.answering:
+            case Ok(FeedAnswer() as answer) if answer.store_available:
                 follower.era.observe(answer.era)
                 return answer
-        # Trying a second reader would take this one past the bound on a configuration.
-        self._own_until[follower.name] = self._clock.now() + OWN_SECONDS
+        # A second reader is not tried: a configuration would be in force too late.
+        self._read_store_until[follower.name] = self._clock.now() + DIRECT_READ_SECONDS
         return None
 
-    def _wake(self) -> None:
-        moved, self._moved = self._moved, GeventEvent()
-        moved.set()
+    def _wake_polls(self) -> None:
+        changed, self._changed = self._changed, GeventEvent()
+        changed.set()
 
     def _announce(self, follower: FeedFollower) -> None:
-        self._wake()
-        until = self._clock.now() + ANNOUNCED_SECONDS
+        self._wake_polls()
+        until = self._clock.now() + ANNOUNCEMENT_SECONDS
         self._members.announce(TOPIC, follower.name, follower.position.number, until=until)
 
-    def _hear(self, name: str, number: int) -> None:
-        asker = self._askers.get(name)
-        if asker is not None:
-            asker.note_announced(read_position(number))
+    def _receive_announcement(self, name: str, number: int) -> None:
+        fetcher = self._fetchers.get(name)
+        if fetcher is not None:
+            fetcher.record_announced(decode_position(number))
 
 
-def _has_store(follower: FeedFollower) -> bool:
-    return follower.answering and not follower.hangs
+def _reaches_store(follower: FeedFollower) -> bool:
+    return follower.answering and not follower.read_overdue
--- a/packages/loomyard-router/src/loomyard_router/feeds/feed_state.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/feed_state.py
@@ -1,4 +1,4 @@
-"""How far a router has come in a feed, for metrics."""
+"""How far a router has read a feed, for metrics."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 @frozen(kw_only=True)
 class FeedState:
-    """The position here and the highest that was announced.
+    """The position of this router and the highest that a router announced.
 
     ``dropped`` counts answers of eras before the newest that is known.
-    ``silent`` is the seconds since the store last answered on the feed, to this router or to the
-    reader at which it waits.
+    ``silent_seconds`` is the time since the store last answered on the feed, to this router or to
+    the reader that it polls.
     """
 
     name: str
--- a/packages/loomyard-router/src/loomyard_router/feeds/keyed_record.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/keyed_record.py
@@ -9,9 +9,9 @@
 
 @frozen(kw_only=True)
 class KeyedRecord:
-    """The newest value of a key; ``None`` where the key was dropped.
+    """The newest value of a key; ``None`` where the key was deleted.
 
-    It stands at ``offset`` of the ``era`` in which it was read; neither alone tells it from others.
+    The record was read at ``offset`` of ``era``; neither alone identifies it.
     """
 
     key: str
--- a/packages/loomyard-router/src/loomyard_router/feeds/record_consumer.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/record_consumer.py
@@ -1,4 +1,4 @@
-"""What takes over what a feed says."""
+"""The protocol of a consumer of the records of a feed."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 if TYPE_CHECKING:
     from loomyard_router.feeds.keyed_record import KeyedRecord
 
-# Who says so.
+# Where records came from.
 STORE = "store"
 PEER = "peer"
 
 
 class RecordConsumer(Protocol):
-    """Take over what a feed says."""
+    """Consume the records of a feed."""
 
     def apply_listing(self, records: list[KeyedRecord], source: str) -> None:
-        """Take the newest record of each key; a key that is not listed is gone.
+        """Replace all records by the newest record of each key; a key not listed is deleted.
 
-        ``source`` tells whether the store or another router says so.
+        ``source`` is ``STORE`` or, where another router sent the records, ``PEER``.
         """
 
     def apply_records(self, records: list[KeyedRecord], source: str = STORE) -> None:
-        """Take changes in order; ``source`` as for a listing."""
+        """Apply changes in order; ``source`` as for a listing."""
 
     def on_store_lost(self) -> None:
-        """Take in that the store does not answer."""
+        """Learn that the store stopped answering."""
 
     def on_store_recovered(self) -> None:
-        """Take in that the store answers again."""
+        """Learn that the store answers again."""
--- a/packages/loomyard-router/src/loomyard_router/feeds/rollback_policy.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/rollback_policy.py
@@ -1,4 +1,4 @@
-"""What is believed of a key when the store comes back from an older copy."""
+"""Which records a router retains when the store comes back from an older copy."""
 
 from __future__ import annotations
 
@@ -9,25 +9,27 @@
 
 
 class RollbackPolicy(Protocol):
-    """Choose between what was believed before a loss and what the store says after it.
+    """Choose between a record known from before a rollback and the store's record after it.
 
-    Both are partly right: the copy lacks the last seconds, the router what came after. What was
-    believed stands until it is written again, or for as long as that may take.
+    Neither is always right: the older copy lacks the last seconds of writes, and the router lacks
+    what was written since. A known record is retained until its key is written again, or for as
+    long as writers may take to do that.
     """
 
     def retains(self, known: KeyedRecord, stored: KeyedRecord | None, *, stale: bool) -> bool:
-        """Tell whether a belief stands against what the store says of its key.
+        """Tell whether a known record overrides the store's record of its key.
 
-        ``believed`` without a value says that the key was dropped. ``said`` is ``None`` where a
-        listing lacks the key. ``copied`` tells that it is known from before the loss.
+        The value of ``known`` is ``None`` where its key was deleted. ``stored`` is ``None`` where
+        the key is missing from a listing. ``stale`` says that ``stored`` dates from before the
+        rollback.
         """
 
     def retention_seconds(self, known: KeyedRecord) -> float:
-        """Return how long a belief stands that is not written again."""
+        """Return how long a record is retained at most unless its key is written again."""
 
 
-class StoreIsRight:
-    """Believe the store alone."""
+class PreferStore:
+    """The policy that retains nothing."""
 
     def retains(self, known: KeyedRecord, stored: KeyedRecord | None, *, stale: bool) -> bool:
         return False
--- a/packages/loomyard-router/src/loomyard_router/feeds/store_era.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/store_era.py
@@ -1,4 +1,4 @@
-"""The newest era of the store that this router has heard of."""
+"""The newest era of the store that this router knows."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @define(eq=False)
 class StoreEra:
-    """Judge answers by their era: what belongs to an earlier one than the newest is dropped.
+    """Drop answers of an era before the newest; a store rolled back to a copy begins a new era.
 
     ``dropped`` counts such answers, of the store and of other routers.
     """
@@ -16,11 +16,11 @@
     dropped: int = 0
 
     def observe(self, era: int) -> None:
-        """Take in an era that somebody knows of."""
+        """Record an era that another router or the store knows."""
         self.newest = max(self.newest, era)
 
     def accept(self, era: int) -> bool:
-        """Take in the era of an answer; false where a later one is known."""
+        """Record the era of an answer; count it and return false where a later era is known."""
         if era < self.newest:
             self.dropped += 1
             return False
--- a/packages/loomyard-router/src/loomyard_router/feeds/unreadable_entries.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/unreadable_entries.py
@@ -1,4 +1,4 @@
-"""Count the entries of feeds that can't be read, and tell of each once."""
+"""Count the entries of feeds that can't be read, and log each once."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 
 logger = logging.getLogger(__name__)
 
-# Entries whose lines are remembered; another writer may leave any number of them.
-MOST_TOLD = 1024
-MOST_KEY = 100
+# Entries remembered as logged; another writer may leave any number of unreadable ones.
+MAX_REMEMBERED = 1024
+MAX_KEY_CHARS = 100
 
 
 class UnreadableEntries:
-    """One log line for each record, however often it is listed, and a counter by reason."""
+    """Log each unreadable record once, however often it is listed, and count them by reason."""
 
     def __init__(self) -> None:
         self.counts: Counter[tuple[str, UnreadableReason]] = Counter()
-        self._told: OrderedDict[tuple[str, str], FeedPosition] = OrderedDict()
+        self._reported: OrderedDict[tuple[str, str], FeedPosition] = OrderedDict()
 
     def report(self, feed: str, key: str, position: FeedPosition, entry: UnreadableEntry) -> None:
-        """Take in that the record of a key at a position can't be read."""
-        if self._told.get((feed, key)) == position:
+        """Log and count an unreadable record; its key and position tell whether it is a new one."""
+        if self._reported.get((feed, key)) == position:
             return
-        self._told[feed, key] = position
-        self._told.move_to_end((feed, key))
-        if len(self._told) > MOST_TOLD:
-            self._told.popitem(last=False)
+        self._reported[feed, key] = position
+        self._reported.move_to_end((feed, key))
+        if len(self._reported) > MAX_REMEMBERED:
+            self._reported.popitem(last=False)
         self.counts[feed, entry.reason] += 1
         emit(
             logger,
             Event.ENTRY_UNREADABLE,
             feed=feed,
-            key=key[:MOST_KEY],
+            key=key[:MAX_KEY_CHARS],
             era=position.era,
             offset=position.offset,
             reason=entry.reason.value,
--- a/packages/loomyard-router/src/loomyard_router/feeds/unreadable_entry.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/unreadable_entry.py
@@ -6,11 +6,12 @@
 
 from attrs import frozen
 
+# An entry may be as long as the store accepts, and the error text with it.
 MAX_DETAIL_CHARS = 200
 
 
 class UnreadableReason(Enum):
-    """What is wrong with an entry, as a label of a metric."""
+    """What is wrong with an entry; the value is a label of a metric."""
 
     KEY = "key"
     SYNTAX = "syntax"
@@ -19,12 +20,12 @@
 
 @frozen
 class UnreadableEntry:
-    """A reason and, for people, its detail."""
+    """A reason and its detail for the log."""
 
     reason: UnreadableReason
     detail: str
 
 
 def make_unreadable_entry(reason: UnreadableReason, detail: object) -> UnreadableEntry:
-    """Make the word on an entry, its detail bounded: an entry may be as long as a store takes."""
+    """Make an ``UnreadableEntry`` whose detail has at most ``MAX_DETAIL_CHARS`` characters."""
     return UnreadableEntry(reason, str(detail)[:MAX_DETAIL_CHARS])
--- a/tests/test_loomyard_router/test_feeds/feed_case.py
+++ b/tests/test_loomyard_router/test_feeds/feed_case.py
@@ -1,4 +1,4 @@
-"""Feeds, takers and memberships that tests of feeds script."""
+"""Scripted feeds, consumers and memberships for tests of feeds."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 if TYPE_CHECKING:
     from loomyard_standins.fake_clock import FakeClock
 
-GONE = Fault(code=ResultCode.LOG_TRIMMED, detail="gone")
-DOWN = Fault(code=ResultCode.LOG_UNAVAILABLE, detail="down")
+TRIMMED = Fault(code=ResultCode.LOG_TRIMMED, detail="gone")
+UNAVAILABLE = Fault(code=ResultCode.LOG_UNAVAILABLE, detail="down")
 
 
 @define(eq=False)
 class ScriptedFeed:
-    """Answer calls in turn."""
+    """A feed that returns prepared results in turn and records the reads."""
 
     listings: list[Result[Listing, Fault]] = field(factory=list)
     batches: list[Result[Batch, Fault]] = field(factory=list)
-    asked: list[int] = field(factory=list)
+    offsets: list[int] = field(factory=list)
     waits: list[float] = field(factory=list)
     name: str = "feed"
 
@@ -36,28 +36,28 @@
         return self.listings.pop(0)
 
     def read(self, offset: int, wait_until: float) -> Result[Batch, Fault]:
-        self.asked.append(offset)
+        self.offsets.append(offset)
         self.waits.append(wait_until)
         return self.batches.pop(0)
 
 
 @define(eq=False)
-class Taken:
-    """What a taker was told."""
+class RecordingConsumer:
+    """A consumer that records its calls."""
 
-    told: list[object] = field(factory=list)
+    calls: list[object] = field(factory=list)
 
     def apply_listing(self, records: list[KeyedRecord], source: str) -> None:
-        self.told.append((source, [record.key for record in records]))
+        self.calls.append((source, [record.key for record in records]))
 
     def apply_records(self, records: list[KeyedRecord], source: str = STORE) -> None:
-        self.told.append([record.key for record in records])
+        self.calls.append([record.key for record in records])
 
     def on_store_lost(self) -> None:
-        self.told.append("lost")
+        self.calls.append("lost")
 
     def on_store_recovered(self) -> None:
-        self.told.append("regained")
+        self.calls.append("regained")
 
 
 def record(key: str, offset: int, value: bytes | None = b"v") -> KeyedRecord:
@@ -65,12 +65,12 @@
 
 
 class TwoMembers(SoleMembership):
-    """A membership of two that hears what a test says."""
+    """A membership of two whose announcements a test makes and reads."""
 
     def __init__(self, own: Member, other: Member) -> None:
         super().__init__(own)
         self.other = other
-        self.heard: dict[str, object] = {}
+        self.handlers: dict[str, object] = {}
         self.announced: list[tuple[str, int]] = []
 
     def live(self) -> tuple[Member, ...]:
@@ -80,18 +80,18 @@
         self.announced.append((key, value))
 
     def subscribe_topic(self, topic: str, heard: object) -> None:
-        self.heard[topic] = heard
+        self.handlers[topic] = heard
 
 
 class ManyMembers(SoleMembership):
-    """A membership of many."""
+    """A fixed membership of many."""
 
-    def __init__(self, own: Member, all_: list[Member]) -> None:
+    def __init__(self, own: Member, members: list[Member]) -> None:
         super().__init__(own)
-        self._all = all_
+        self._members = members
 
     def live(self) -> tuple[Member, ...]:
-        return tuple(self._all)
+        return tuple(self._members)
 
 
 def pass_time(clock: FakeClock, seconds: float) -> None:
--- a/tests/test_loomyard_router/test_feeds/feed_fleet.py
+++ b/tests/test_loomyard_router/test_feeds/feed_fleet.py
@@ -1,4 +1,4 @@
-"""Routers that follow feeds of a store, in one process and on a stepped clock."""
+"""Routers that follow the feeds of a store, in one process and on a stepped clock."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from loomyard_router.feeds.feed_exchange import FeedExchange
 from loomyard_router.feeds.feed_follower import FeedFollower
 from loomyard_router.feeds.record_consumer import STORE, RecordConsumer
-from loomyard_router.feeds.rollback_policy import RollbackPolicy, StoreIsRight
+from loomyard_router.feeds.rollback_policy import PreferStore, RollbackPolicy
 from loomyard_router.members.datagram_seal import DatagramSeal
 from loomyard_router.members.membership import Member
 from loomyard_router.members.swim import SwimMembership
@@ -27,16 +27,16 @@
     from loomyard_router.feeds.keyed_record import KeyedRecord
 
 FEEDS = ("configuration", "targets")
-# Reads that bring something are that far apart on the platform.
-PACE = 0.5
-# By then all routers know each other.
+# Seconds between reads that return records, as on the platform.
+MIN_READ_INTERVAL = 0.5
+# Seconds after the start until all routers know each other.
 SETTLED = 6.0
 
 
 def make_members(
     name: str, clock: Clock, datagrams: DatagramNetwork, *, seed: int, incarnation: int = 1
 ) -> SwimMembership:
-    """Make the membership of a router of a fleet that finds itself at ``r0``."""
+    """Make the membership of a router whose seed is ``r0``."""
     own = Member(name=name, incarnation=incarnation, address=f"{name}:1", data_centre="")
     return SwimMembership(
         own=own,
@@ -50,11 +50,11 @@
 
 
 @define(eq=False)
-class Arrivals:
-    """A taker that notes when each value arrived first."""
+class ArrivalConsumer:
+    """A consumer that records when each value arrived first."""
 
     clock: Clock
-    at: dict[bytes, float] = field(factory=dict)
+    first_seen: dict[bytes, float] = field(factory=dict)
 
     def apply_listing(self, records: list[KeyedRecord], source: str) -> None:
         self.apply_records(records)
@@ -62,7 +62,7 @@
     def apply_records(self, records: list[KeyedRecord], source: str = STORE) -> None:
         for record in records:
             if record.value is not None:
-                self.at.setdefault(record.value, self.clock.now())
+                self.first_seen.setdefault(record.value, self.clock.now())
 
     def on_store_lost(self) -> None:
         pass
@@ -73,13 +73,13 @@
 
 @define(eq=False)
 class Router:
-    """One router's part in the feeds."""
+    """What one router needs to follow the feeds."""
 
     members: SwimMembership
     exchange: FeedExchange
     followers: dict[str, FeedFollower]
     feeds: dict[str, MemoryStoreFeed]
-    takers: dict[str, RecordConsumer]
+    consumers: dict[str, RecordConsumer]
 
     def start(self) -> None:
         self.members.start()
@@ -95,7 +95,7 @@
 
 
 class FeedFleet:
-    """Routers whose names begin with ``r``; they start at once."""
+    """Routers ``r0``, ``r1`` and so on, which start at once."""
 
     def __init__(self, count: int, *, seed: int = 1) -> None:
         self.clock = SteppedClock()
@@ -104,7 +104,7 @@
         self._datagrams = DatagramNetwork(seed=seed)
         self._seed = seed
         self._starts: Counter[str] = Counter()
-        self.publish_first()
+        self.publish_initial()
         self.routers = {f"r{number}": self._make(number) for number in range(count)}
         for router in self.routers.values():
             router.start()
@@ -112,7 +112,7 @@
 
     @property
     def calls(self) -> int:
-        """Return how many calls the stores got."""
+        """Return how many calls the stores received."""
         return sum(feed.calls for router in self.routers.values() for feed in router.feeds.values())
 
     def run(self, seconds: float) -> None:
@@ -125,33 +125,33 @@
             router.stop()
         self.run(0.0)
 
-    def publish_first(self) -> None:
-        """Write what stands there before the first router starts."""
+    def publish_initial(self) -> None:
+        """Write the records that exist before the first router starts."""
         for store in self.stores.values():
             store.publish("key", b"first")
 
-    def make_taker(self, feed: str) -> RecordConsumer:
-        """Make what takes the records of a feed at one router."""
-        return Arrivals(self.clock)
+    def make_consumer(self, feed: str) -> RecordConsumer:
+        """Make the consumer of a feed at one router."""
+        return ArrivalConsumer(self.clock)
 
-    def make_losses(self, feed: str) -> RollbackPolicy:
-        """Make the policy of a feed for a store that fell back."""
-        return StoreIsRight()
+    def make_rollback_policy(self, feed: str) -> RollbackPolicy:
+        """Make the policy of a feed for a rollback of the store."""
+        return PreferStore()
 
-    def note_made(self, name: str) -> None:
-        """Take in that the parts of a router were made."""
+    def router_made(self, name: str) -> None:
+        """Learn that the components of a router were made."""
 
     def last_arrival(self, feed: str, value: bytes) -> float:
-        """Return when the last router had a value, infinity where one has it not."""
+        """Return when a value reached the last router, infinity where one lacks it."""
         arrived = []
         for router in self.routers.values():
-            taker = router.takers[feed]
-            assert isinstance(taker, Arrivals)
-            arrived.append(taker.at.get(value, float("inf")))
+            consumer = router.consumers[feed]
+            assert isinstance(consumer, ArrivalConsumer)
+            arrived.append(consumer.first_seen.get(value, float("inf")))
         return max(arrived)
 
     def restart(self, name: str) -> None:
-        """Let a router end and start again, with nothing kept."""
+        """Stop a router and start it again without its state."""
         self.routers[name].stop()
         self.run(0.0)
         self.routers[name] = self._make(int(name.removeprefix("r")))
@@ -159,7 +159,7 @@
 
     def _make(self, number: int) -> Router:
         name = f"r{number}"
-        source = random.Random(f"{self._seed} {name}")
+        rng = random.Random(f"{self._seed} {name}")
         self._starts[name] += 1
         members = make_members(
             name,
@@ -169,15 +169,15 @@
             incarnation=self._starts[name],
         )
         feeds = {feed: MemoryStoreFeed(store, name) for feed, store in self.stores.items()}
-        takers = {feed: self.make_taker(feed) for feed in feeds}
+        consumers = {feed: self.make_consumer(feed) for feed in feeds}
         followers = {
             feed: FeedFollower(
                 feeds[feed],
-                takers[feed],
+                consumers[feed],
                 self.clock,
-                source,
-                min_read_interval=PACE,
-                rollback_policy=self.make_losses(feed),
+                rng,
+                min_read_interval=MIN_READ_INTERVAL,
+                rollback_policy=self.make_rollback_policy(feed),
             )
             for feed in feeds
         }
@@ -186,7 +186,7 @@
             members=members,
             peers=self.network.join(members.own),
             followers=followers.values(),
-            source=source,
+            source=rng,
         )
-        self.note_made(name)
-        return Router(members, exchange, followers, feeds, takers)
+        self.router_made(name)
+        return Router(members, exchange, followers, feeds, consumers)
--- a/tests/test_loomyard_router/test_feeds/eras_fleet.py
+++ b/tests/test_loomyard_router/test_feeds/rollback_fleet.py
@@ -1,4 +1,4 @@
-"""Routers that hold a configuration, orders and targets, after a store with losses."""
+"""Routers that follow a configuration, evacuations and targets of a store with rollbacks."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 CONFIGURATION, TARGETS = "configuration", "targets"
 KEY = "config"
-EMPTYING = "evacuate/"
+EVACUATION = "evacuate/"
 SERVICE = "engine"
 LEAVING = b"draining"
 READY = b"ready"
@@ -56,16 +56,16 @@
     )
 
 
-def find_emptied(key: str) -> str | None:
-    return key.removeprefix(EMPTYING) if key.startswith(EMPTYING) else None
+def find_evacuated(key: str) -> str | None:
+    return key.removeprefix(EVACUATION) if key.startswith(EVACUATION) else None
 
 
 @define(eq=False)
-class Holding:
-    """What one router holds."""
+class RouterState:
+    """The configuration and targets of one router."""
 
     holder: TableHolder
-    emptied: EvacuatedDataCentres
+    evacuated: EvacuatedDataCentres
     registry: TargetRegistry
 
     @property
@@ -73,36 +73,36 @@
         return {target.id for target in self.registry.usable(SERVICE)}
 
 
-class ErasFleet(FeedFleet):
-    """Three routers unless said; a router that starts again holds nothing."""
+class RollbackFleet(FeedFleet):
+    """Three routers unless said otherwise; a restarted router has no state."""
 
     def __init__(self, count: int = 3, *, seed: int = 1) -> None:
         super().__init__(count, seed=seed)
 
-    def holding(self, name: str) -> Holding:
-        """Return what a router holds since its last start."""
+    def state_of(self, name: str) -> RouterState:
+        """Return the state of a router since its last start."""
         return self._by_name[name]
 
-    def publish_first(self) -> None:
-        self._by_name: dict[str, Holding] = {}
+    def publish_initial(self) -> None:
+        self._by_name: dict[str, RouterState] = {}
         self.stores[CONFIGURATION].publish(KEY, b"1")
         for key in ("north-0", "north-1", "south-0", "south-1"):
             self.stores[TARGETS].publish(key, READY)
 
-    def make_taker(self, feed: str) -> RecordConsumer:
+    def make_consumer(self, feed: str) -> RecordConsumer:
         if feed == CONFIGURATION:
             registry = TargetRegistry(self.clock)
-            emptied = EvacuatedDataCentres(find_emptied)
-            emptied.subscribe(registry.set_evacuated)
-            self._newest = Holding(TableHolder(decode_table), emptied, registry)
+            evacuated = EvacuatedDataCentres(find_evacuated)
+            evacuated.subscribe(registry.set_evacuated)
+            self._newest = RouterState(TableHolder(decode_table), evacuated, registry)
             tables = TableFeed(self._newest.holder, KEY, UnreadableEntries())
-            return FanOutConsumer((emptied, tables))
+            return FanOutConsumer((evacuated, tables))
         return TargetFeed(self._newest.registry, decode_target, UnreadableEntries())
 
-    def make_losses(self, feed: str) -> RollbackPolicy:
+    def make_rollback_policy(self, feed: str) -> RollbackPolicy:
         if feed == CONFIGURATION:
-            return OrderRollbackPolicy(find_emptied)
+            return OrderRollbackPolicy(find_evacuated)
         return TargetRollbackPolicy(decode_target)
 
-    def note_made(self, name: str) -> None:
+    def router_made(self, name: str) -> None:
         self._by_name[name] = self._newest
--- a/tests/test_loomyard_router/test_feeds/test_feed_sight.py
+++ b/tests/test_loomyard_router/test_feeds/test_feed_observability.py
@@ -1,4 +1,4 @@
-"""Tests of what logs and metrics tell of a feed that hangs."""
+"""Tests of the log lines and metrics of a feed whose reads hang."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 from loomyard.events import Event
 from loomyard_router.feeds.feed import Batch, Listing
-from loomyard_router.feeds.feed_asker import READ_SECONDS
 from loomyard_router.feeds.feed_exchange import FeedExchange
 from loomyard_router.feeds.feed_follower import FeedFollower
 from loomyard_router.feeds.feed_position import FeedPosition
+from loomyard_router.feeds.peer_fetcher import OWN_READ_SECONDS
 from loomyard_router.members.membership import Member
 from loomyard_router.metrics.exposition import MetersCollector, expose
 from loomyard_router.metrics.meters import Meters
@@ -22,9 +22,9 @@
 from loomyard_standins.fake_clock import FakeClock
 from loomyard_standins.memory_network import MemoryNetwork
 from test_loomyard_router.test_feeds.feed_case import (
-    DOWN,
+    UNAVAILABLE,
+    RecordingConsumer,
     ScriptedFeed,
-    Taken,
     TwoMembers,
     pass_time,
     record,
@@ -35,34 +35,34 @@
 
 
 class HangingFeed(ScriptedFeed):
-    """Let the clock run on during each read."""
+    """A feed whose reads take time on the clock."""
 
     clock: FakeClock
-    hangs: float = 0.0
+    read_seconds: float = 0.0
 
     def read(self, offset: int, wait_until: float) -> Result[Batch, Fault]:
-        self.clock.advance(self.hangs)
+        self.clock.advance(self.read_seconds)
         return super().read(offset, wait_until)
 
 
-class FeedSightTest(unittest.TestCase):
+class FeedObservabilityTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = FakeClock()
         self.feed = HangingFeed()
         self.feed.clock = self.clock
-        self.follower = FeedFollower(self.feed, Taken(), self.clock, random.Random(1))
+        self.follower = FeedFollower(self.feed, RecordingConsumer(), self.clock, random.Random(1))
         self.feed.listings.append(
             Ok(Listing(records=[record("a", 0)], position=FeedPosition(0, 1)))
         )
         self.follower.step()
 
-    def test_the_line_of_a_loss_tells_how_long_the_call_was_out(self) -> None:
+    def test_a_lost_store_is_logged_with_the_duration_of_the_failed_call(self) -> None:
         self.clock.advance(1.0)
-        self.feed.hangs = 8.0
-        self.feed.batches = [Err(DOWN), Ok(Batch(records=[], position=FeedPosition(0, 1)))]
+        self.feed.read_seconds = 8.0
+        self.feed.batches = [Err(UNAVAILABLE), Ok(Batch(records=[], position=FeedPosition(0, 1)))]
         with mock.patch("loomyard_router.feeds.feed_follower.emit") as emit:
             self.follower.step()
-            self.feed.hangs = 0.5
+            self.feed.read_seconds = 0.5
             self.follower.step()
         lost, regained = emit.call_args_list
         self.assertIs(Event.FEED_LOST, lost.args[1])
@@ -70,7 +70,7 @@
         self.assertIs(Event.FEED_REGAINED, regained.args[1])
         self.assertEqual(9.5, regained.kwargs["silent"])
 
-    def test_the_line_of_hearing_tells_since_when_it_was_behind_and_who_had_nothing(self) -> None:
+    def test_records_of_a_peer_are_logged_with_the_time_behind_and_fruitless_requests(self) -> None:
         network = MemoryNetwork()
         first, second = (
             Member(name=n, incarnation=1, address="", data_centre="") for n in ("a", "b")
@@ -85,7 +85,7 @@
         )
         exchange.start()
         self.addCleanup(exchange.stop)
-        ahead = FeedFollower(ScriptedFeed(), Taken(), self.clock, random.Random(1))
+        ahead = FeedFollower(ScriptedFeed(), RecordingConsumer(), self.clock, random.Random(1))
         other = FeedExchange(
             clock=self.clock,
             members=TwoMembers(second, first),
@@ -95,23 +95,23 @@
         )
         other.start()
         self.addCleanup(other.stop)
-        members.heard["feed"]("feed", 2)  # type: ignore[operator]
+        members.handlers["feed"]("feed", 2)  # type: ignore[operator]
         pass_time(self.clock, 0.0)
-        pass_time(self.clock, READ_SECONDS)
-        ahead.take_over([record("a", 1)], FeedPosition(0, 2))
-        with mock.patch("loomyard_router.feeds.feed_asker.emit") as emit:
-            pass_time(self.clock, READ_SECONDS)
+        pass_time(self.clock, OWN_READ_SECONDS)
+        ahead.apply_peer_listing([record("a", 1)], FeedPosition(0, 2))
+        with mock.patch("loomyard_router.feeds.peer_fetcher.emit") as emit:
+            pass_time(self.clock, OWN_READ_SECONDS)
         emit.assert_called_once()
         self.assertIs(Event.FEED_HEARD, emit.call_args.args[1])
-        self.assertEqual(2 * READ_SECONDS, emit.call_args.kwargs["behind"])
+        self.assertEqual(2 * OWN_READ_SECONDS, emit.call_args.kwargs["behind"])
         self.assertEqual(1, emit.call_args.kwargs["in_vain"])
         (state,) = exchange.states()
         self.assertEqual(
-            (2, 2, 2 * READ_SECONDS),
+            (2, 2, 2 * OWN_READ_SECONDS),
             (state.position.offset, state.announced.offset, state.silent_seconds),
         )
 
-    def test_metrics_show_a_feed_that_is_behind_and_silent(self) -> None:
+    def test_metrics_show_the_position_and_silence_of_a_feed(self) -> None:
         exchange = FeedExchange(
             clock=self.clock,
             members=TwoMembers(*[Member(name="a", incarnation=1, address="", data_centre="")] * 2),
--- a/tests/test_loomyard_router/test_feeds/test_store_eras_model.py
+++ b/tests/test_loomyard_router/test_feeds/test_store_rollbacks_model.py
@@ -1,7 +1,7 @@
-"""A model of a store that falls back, its writers and three routers, played by drawn rules.
+"""A stateful property test of a store with rollbacks, its writers and three routers.
 
-At every moment: versions never fall, a data centre that is emptied stays so, who leaves or ended
-gets no new work. After each quiet time every router holds exactly what the store holds.
+At every moment versions never decrease, an evacuated data centre stays evacuated, and a target that
+leaves or ended gets no new work. After each quiet time every router has exactly what the store has.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 from loomyard_router.feeds.feed_position import FeedPosition
 from loomyard_standins import memory_store
 from loomyard_standins.memory_store import Outage
-from test_loomyard_router.test_feeds.eras_fleet import (
+from test_loomyard_router.test_feeds.rollback_fleet import (
     CONFIGURATION,
-    EMPTYING,
+    EVACUATION,
     KEY,
     LEAVING,
     READY,
     TARGETS,
-    ErasFleet,
+    RollbackFleet,
 )
 
-# Beyond all that is held, and all that a router may be behind.
+# Seconds longer than any retention and than a router may be behind.
 QUIET = 18.0
 EXAMPLES = 15
 STEPS = 14
-PLAYED = settings(
+RUN_SETTINGS = settings(
     max_examples=EXAMPLES,
     stateful_step_count=STEPS,
     derandomize=True,
     database=None,
     deadline=None,
-    # A failing play is printed whole; to shrink one takes minutes.
+    # A failing example is printed whole, as shrinking one takes minutes.
     phases=[Phase.generate],
     suppress_health_check=list(HealthCheck),
 )
@@ -47,20 +47,20 @@
 OUTAGES = st.sampled_from(list(Outage))
 
 
-class StoreWithLosses(RuleBasedStateMachine):
+class StoreWithRollbacks(RuleBasedStateMachine):
     def __init__(self) -> None:
         super().__init__()
-        self.fleet = ErasFleet()
+        self.fleet = RollbackFleet()
         self.version = 1
         self.targets = 2
-        # What writers want to stand there, whatever the store lost.
+        # What writers want in the store, whatever it lost.
         self.wanted: dict[str, dict[str, bytes | None]] = {
             feed: {one.key: one.value for one in store.newest()}
             for feed, store in self.fleet.stores.items()
         }
         self.seen_versions: dict[str, int] = {}
-        self.seen_emptied: dict[str, set[str]] = {}
-        self.seen_out: dict[str, set[str]] = {}
+        self.seen_evacuated: dict[str, set[str]] = {}
+        self.seen_unusable: dict[str, set[str]] = {}
 
     def teardown(self) -> None:
         self.quiet()
@@ -76,13 +76,13 @@
         self.write(CONFIGURATION, KEY, str(self.version).encode())
 
     @rule(name=DATA_CENTRES)
-    def empty(self, name: str) -> None:
-        self.write(CONFIGURATION, EMPTYING + name, b"{}")
+    def evacuate(self, name: str) -> None:
+        self.write(CONFIGURATION, EVACUATION + name, b"{}")
 
     @rule(name=DATA_CENTRES)
-    def take_back(self, name: str) -> None:
-        if self.wanted[CONFIGURATION].get(EMPTYING + name):
-            self.write(CONFIGURATION, EMPTYING + name, None)
+    def reinstate(self, name: str) -> None:
+        if self.wanted[CONFIGURATION].get(EVACUATION + name):
+            self.write(CONFIGURATION, EVACUATION + name, None)
 
     @rule(name=DATA_CENTRES)
     def announce(self, name: str) -> None:
@@ -96,7 +96,7 @@
             self.write(TARGETS, live[number % len(live)], LEAVING)
 
     @rule(number=st.integers(0, 9))
-    def end(self, number: int) -> None:
+    def remove(self, number: int) -> None:
         leaving = sorted(key for key, value in self.wanted[TARGETS].items() if value == LEAVING)
         if leaving:
             self.write(TARGETS, leaving[number % len(leaving)], None)
@@ -106,7 +106,7 @@
         self.fleet.run(seconds)
 
     @rule(name=ROUTERS, outage=OUTAGES, seconds=st.sampled_from([0.5, 3.0]))
-    def keep_a_router_from_the_store(self, name: str, outage: Outage, seconds: float) -> None:
+    def fail_the_store_for_a_router(self, name: str, outage: Outage, seconds: float) -> None:
         for store in self.fleet.stores.values():
             store.fail([name], outage)
         self.fleet.run(seconds)
@@ -120,27 +120,27 @@
         self.fleet.network.heal()
 
     @rule(name=ROUTERS)
-    def start_again(self, name: str) -> None:
+    def restart(self, name: str) -> None:
         self.fleet.restart(name)
-        for seen in (self.seen_versions, self.seen_emptied, self.seen_out):
+        for seen in (self.seen_versions, self.seen_evacuated, self.seen_unusable):
             seen.pop(name, None)  # type: ignore[attr-defined]
         self.fleet.run(1.5)
 
     @rule(
         age=st.sampled_from([0.3, 3.0, 8.0]),
         outage=OUTAGES,
-        away=st.sampled_from([0.1, 1.0]),
-        later=st.sampled_from([0.0, 0.4, 1.5]),
+        outage_seconds=st.sampled_from([0.1, 1.0]),
+        delay=st.sampled_from([0.0, 0.4, 1.5]),
         more=st.integers(0, 5),
         seed=st.integers(0, 99),
     )
-    def fall_back(
-        self, age: float, outage: Outage, away: float, later: float, more: int, seed: int
+    def roll_back(
+        self, age: float, outage: Outage, outage_seconds: float, delay: float, more: int, seed: int
     ) -> None:
-        """Lose seconds of writes; writers write again what they want, in another order."""
+        """Lose the last writes; writers write the lost keys again, in another order."""
         for store in self.fleet.stores.values():
             store.fail(self.fleet.routers, outage)
-        self.fleet.run(away)
+        self.fleet.run(outage_seconds)
         lost = {feed: store.fall_back(age) for feed, store in self.fleet.stores.items()}
         for feed, store in self.fleet.stores.items():
             for number in range(more):
@@ -149,7 +149,7 @@
                     f"{'other' if feed == CONFIGURATION else 'north'}-x{number}"
                 ] = b"1"
             store.heal()
-        self.fleet.run(later)
+        self.fleet.run(delay)
         for feed, records in lost.items():
             keys = sorted({record.key for record in records})
             random.Random(seed).shuffle(keys)
@@ -158,64 +158,64 @@
 
     @rule()
     def quiet(self) -> None:
-        """Let all be written again and heard, and compare."""
+        """Wait until all routers are up to date, and compare them with the store."""
         self.fleet.run(QUIET)
         tables = {one.key: one.value for one in self.fleet.stores[CONFIGURATION].newest()}
         targets = {one.key: one.value for one in self.fleet.stores[TARGETS].newest()}
-        emptied = {key.removeprefix(EMPTYING) for key in tables if key.startswith(EMPTYING)}
+        evacuated = {key.removeprefix(EVACUATION) for key in tables if key.startswith(EVACUATION)}
         usable = {
             key
             for key, value in targets.items()
-            if value != LEAVING and key.partition("-")[0] not in emptied
+            if value != LEAVING and key.partition("-")[0] not in evacuated
         }
         for name in self.fleet.routers:
-            held = self.fleet.holding(name)
-            assert held.holder.version == int(tables[KEY] or b"0"), (name, "version")
-            assert held.emptied.names == emptied, (name, "emptied")
-            assert held.usable == usable, (name, held.usable ^ usable)
+            state = self.fleet.state_of(name)
+            assert state.holder.version == int(tables[KEY] or b"0"), (name, "version")
+            assert state.evacuated.names == evacuated, (name, "evacuated")
+            assert state.usable == usable, (name, state.usable ^ usable)
 
     @invariant()
-    def versions_never_fall(self) -> None:
+    def versions_never_decrease(self) -> None:
         for name in self.fleet.routers:
-            version = self.fleet.holding(name).holder.version
+            version = self.fleet.state_of(name).holder.version
             assert version >= self.seen_versions.get(name, -1), name
             self.seen_versions[name] = version
 
     @invariant()
-    def what_is_emptied_stays_emptied(self) -> None:
+    def evacuated_data_centres_stay_evacuated(self) -> None:
         ordered = {
-            key.removeprefix(EMPTYING)
+            key.removeprefix(EVACUATION)
             for key, value in self.wanted[CONFIGURATION].items()
-            if key.startswith(EMPTYING) and value
+            if key.startswith(EVACUATION) and value
         }
         for name in self.fleet.routers:
-            names = self.fleet.holding(name).emptied.names
-            seen = self.seen_emptied.setdefault(name, set()) & ordered
+            names = self.fleet.state_of(name).evacuated.names
+            seen = self.seen_evacuated.setdefault(name, set()) & ordered
             assert seen <= names, (name, seen - names)
-            self.seen_emptied[name] = seen | (names & ordered)
+            self.seen_evacuated[name] = seen | (names & ordered)
 
     @invariant()
-    def who_leaves_or_ended_gets_no_work_again(self) -> None:
+    def leaving_and_ended_targets_get_no_new_work(self) -> None:
         out = {key for key, value in self.wanted[TARGETS].items() if value in (LEAVING, None)}
         for name in self.fleet.routers:
-            usable = self.fleet.holding(name).usable
-            seen = self.seen_out.setdefault(name, set())
+            usable = self.fleet.state_of(name).usable
+            seen = self.seen_unusable.setdefault(name, set())
             assert not seen & usable, (name, seen & usable)
-            if self.fleet.holding(name).registry.ready:
-                self.seen_out[name] = seen | (out - usable)
+            if self.fleet.state_of(name).registry.ready:
+                self.seen_unusable[name] = seen | (out - usable)
 
 
 class StoreErasModelTest(unittest.TestCase):
-    def test_what_routers_hold_through_losses(self) -> None:
-        run_state_machine_as_test(StoreWithLosses, settings=PLAYED)
+    def test_routers_stay_consistent_through_rollbacks(self) -> None:
+        run_state_machine_as_test(StoreWithRollbacks, settings=RUN_SETTINGS)
 
-    def test_comparing_offsets_alone_is_found(self) -> None:
+    def test_the_model_detects_positions_without_eras(self) -> None:
         def make(_: int, offset: int) -> FeedPosition:
             return FeedPosition(0, offset)
 
         faulty: Any = mock.patch.object(memory_store, "FeedPosition", make)
         with faulty, self.assertRaises(AssertionError):
-            run_state_machine_as_test(StoreWithLosses, settings=PLAYED)
+            run_state_machine_as_test(StoreWithRollbacks, settings=RUN_SETTINGS)
 
 
 if __name__ == "__main__":
