--- a/packages/loomyard-router/src/loomyard_router/members/__init__.py
+++ b/packages/loomyard-router/src/loomyard_router/members/__init__.py
@@ -1,1 +1,1 @@
-"""Which routers are there."""
+"""Membership: which routers the fleet has and whether they are alive."""
--- a/packages/loomyard-router/src/loomyard_router/members/datagram_seal.py
+++ b/packages/loomyard-router/src/loomyard_router/members/datagram_seal.py
@@ -1,4 +1,4 @@
-"""Authentication of datagrams: an HMAC, bound to the receiver, and no number twice."""
+"""Authentication of datagrams by an HMAC bound to the receiver, and replay protection."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 PURPOSE = b"loomyard datagram 1"
 WINDOW = 64
 MAX_SENDERS = 4096
-FORGET_AFTER = 3600.0
+EXPIRY_SECONDS = 3600.0
 
 
 @define(eq=False)
@@ -27,13 +27,16 @@
 
 @define(eq=False)
 class ReplayWindow:
-    """Which of the newest numbers of each sender were seen; numbers may come out of order."""
+    """Reject sequence numbers of a sender that were seen; they may arrive out of order.
+
+    For each sender the last ``WINDOW`` numbers are tracked.
+    """
 
     clock: Clock
     _windows: dict[str, _Window] = field(factory=dict)
 
-    def admit(self, sender: str, incarnation: int, sequence: int) -> bool:
-        """Take a number; false where it was seen, is too old or is of an old incarnation."""
+    def accept(self, sender: str, incarnation: int, sequence: int) -> bool:
+        """Record a number; false where it was seen, is too old or is of an old incarnation."""
         now = self.clock.now()
         window = self._windows.get(sender)
         if window is None or incarnation > window.incarnation:
@@ -42,17 +45,17 @@
             return True
         if incarnation < window.incarnation:
             return False
-        return _admit(window, sequence, now)
+        return _accept(window, sequence, now)
 
     def _make_room(self, now: float) -> None:
         if len(self._windows) < MAX_SENDERS:
             return
         for name, window in list(self._windows.items()):
-            if window.used_at < now - FORGET_AFTER:
+            if window.used_at < now - EXPIRY_SECONDS:
                 del self._windows[name]
 
 
-def _admit(window: _Window, sequence: int, now: float) -> bool:
+def _accept(window: _Window, sequence: int, now: float) -> bool:
     ahead = sequence - window.highest
     if ahead > 0:
         mask = (1 << WINDOW) - 1
@@ -68,7 +71,7 @@
 
 
 class DatagramSeal:
-    """Seal datagrams for an address and open those for the own address."""
+    """Seal datagrams for their receiver, and verify and decode those that are received."""
 
     def __init__(self, secret: FleetSecret, clock: Clock) -> None:
         self._keys = secret.keys(PURPOSE)
@@ -80,16 +83,16 @@
         return truncated_hmac(self._keys[0], address.encode(), body) + body
 
     def open(self, data: bytes, own_address: str) -> Result[Datagram, Fault]:
-        """Check and decode a datagram."""
+        """Verify and decode a datagram; errors ``PEER_REFUSED`` and ``MESSAGE_INVALID``."""
         mac, body = data[:MAC_BYTES], data[MAC_BYTES:]
         if not any(is_valid_mac(key, mac, own_address.encode(), body) for key in self._keys):
-            return _refuse("a wrong key or another router's datagram")
+            return _refuse("a wrong key or a datagram for another router")
         match unpack(body, Datagram):
             case Ok(datagram):
                 pass
             case Err(detail):
                 return Err(Fault(code=ResultCode.MESSAGE_INVALID, detail=detail))
-        if not self._window.admit(datagram.sender, datagram.incarnation, datagram.sequence):
+        if not self._window.accept(datagram.sender, datagram.incarnation, datagram.sequence):
             return _refuse(f"a replay or an old incarnation of {datagram.sender}")
         return Ok(datagram)
 
--- a/packages/loomyard-router/src/loomyard_router/members/datagrams.py
+++ b/packages/loomyard-router/src/loomyard_router/members/datagrams.py
@@ -19,16 +19,16 @@
 
 
 class Datagrams(Protocol):
-    """Send datagrams, which may be lost, doubled or late, and receive them."""
+    """Send and receive datagrams, which may be lost, duplicated or late."""
 
     def send(self, address: str, data: bytes) -> None:
-        """Send without waiting; ``address`` is ``host:port``."""
+        """Send without blocking; ``address`` is ``host:port``."""
 
     def start(self, receive: Callable[[bytes], None]) -> None:
-        """Start to give datagrams to a function."""
+        """Start to call a function with each received datagram."""
 
     def stop(self) -> None:
-        """End."""
+        """End the task and close the socket."""
 
 
 class UdpDatagrams:
@@ -39,7 +39,7 @@
         self._task: gevent.Greenlet | None = None
 
     def send(self, address: str, data: bytes) -> None:
-        # One that can't be sent is as good as lost on the way.
+        # A datagram that can't be sent counts as lost.
         with suppress(OSError, ValueError):
             self._socket.sendto(data, split_address(address))
 
@@ -56,7 +56,7 @@
             try:
                 data = self._socket.recv(RECEIVE_BYTES)
             except ConnectionError:
-                continue  # an ICMP answer to an earlier send
+                continue  # an ICMP error for an earlier datagram
             except OSError:
                 return
             receive(data)
--- a/packages/loomyard-router/src/loomyard_router/members/digests.py
+++ b/packages/loomyard-router/src/loomyard_router/members/digests.py
@@ -1,4 +1,4 @@
-"""A number that sums up a set, in any order."""
+"""A digest of a set, independent of the order of its entries."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 def unordered_digest(entries: Iterable[list[Any]]) -> int:
-    """Return the exclusive or of the hashes of entries.
+    """Return the XOR of the hashes of entries, as a 32-bit number.
 
-    A checksum would not do: those of similar names cancel each other out.
+    CRCs would not do in place of the hashes: those of similar names cancel each other out.
     """
     total = 0
     for entry in entries:
--- a/packages/loomyard-router/src/loomyard_router/members/exchange.py
+++ b/packages/loomyard-router/src/loomyard_router/members/gossip_exchange.py
@@ -1,4 +1,4 @@
-"""Datagrams out and in: sealed, counted and laden with news."""
+"""Sending and receiving of gossip datagrams: sealed, counted and filled with updates."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from loomyard.events import Event, emit
 from loomyard_router.members.datagrams import HEADER_BYTES
+from loomyard_router.members.gossip_queue import GossipQueue
 from loomyard_router.members.messages import Datagram, DatagramKind
-from loomyard_router.members.news import News
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
@@ -23,11 +23,11 @@
 
 logger = logging.getLogger(__name__)
 
-COMPLAINT_INTERVAL = 1.0
+REFUSAL_LOG_INTERVAL = 1.0
 
 
-class Exchange:
-    """Send datagrams of this router and open those of others."""
+class GossipExchange:
+    """Send the datagrams of this router, and verify and decode those of others."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         traffic: TrafficCounters,
         clock: Clock,
     ) -> None:
-        self.news = News(table, topics)
+        self.gossip_queue = GossipQueue(table, topics)
         self._table = table
         self._topics = topics
         self._datagrams = datagrams
@@ -47,7 +47,7 @@
         self._traffic = traffic
         self._clock = clock
         self._sequence = 0
-        self._complain_at = clock.now()
+        self._next_log_at = clock.now()
 
     @property
     def digest(self) -> int:
@@ -61,11 +61,14 @@
         *,
         own: MemberUpdate,
         first: list[MemberUpdate],
-        everything: bool = False,
+        include_old: bool = False,
         target: str = "",
     ) -> None:
-        """Send a datagram with ``first`` and what other news fits."""
-        updates, items = self.news.take(first=first, everything=everything)
+        """Send a datagram with the updates ``first`` and as many queued ones as fit.
+
+        With ``include_old`` updates that are no longer queued are added, too.
+        """
+        updates, items = self.gossip_queue.select(first=first, include_old=include_old)
         self._sequence += 1
         datagram = Datagram(
             kind=kind,
@@ -84,7 +87,7 @@
         self._datagrams.send(address, data)
 
     def open(self, data: bytes, own_address: str) -> Datagram | None:
-        """Return an authentic datagram, or count and log that it was refused."""
+        """Return an authentic datagram; count and log one that is refused."""
         match self._seal.open(data, own_address):
             case Ok(datagram):
                 self._traffic.record_received(
@@ -93,14 +96,14 @@
                 return datagram
             case Err(fault):
                 self._traffic.record_refused("datagram")
-                self._complain(fault.detail)
+                self._log_refusal(fault.detail)
         return None
 
-    def _complain(self, detail: str) -> None:
-        """Log a refusal, but not each one of a flood."""
+    def _log_refusal(self, detail: str) -> None:
+        """Log a refusal, at most one in ``REFUSAL_LOG_INTERVAL`` seconds."""
         now = self._clock.now()
-        if now >= self._complain_at:
-            self._complain_at = now + COMPLAINT_INTERVAL
+        if now >= self._next_log_at:
+            self._next_log_at = now + REFUSAL_LOG_INTERVAL
             emit(logger, Event.DATAGRAM_REFUSED, detail=detail)
 
 
--- a/packages/loomyard-router/src/loomyard_router/members/listeners.py
+++ b/packages/loomyard-router/src/loomyard_router/members/listeners.py
@@ -1,4 +1,4 @@
-"""Functions that other parts want called."""
+"""Callbacks of other components."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 @define(eq=False)
 class Listeners:
-    """Call all, also where one fails."""
+    """Call all registered functions; one that raises is logged and does not stop the others."""
 
     _functions: list[Callable[..., None]] = field(factory=list)
 
-    def add(self, function: Callable[..., None]) -> None:
-        """Add one."""
+    def subscribe(self, function: Callable[..., None]) -> None:
+        """Register a function."""
         self._functions.append(function)
 
-    def call(self, *arguments: Any) -> None:
-        """Call all in the order in which they were added."""
+    def notify(self, *arguments: Any) -> None:
+        """Call all functions in the order of their registration."""
         for function in self._functions:
             try:
                 function(*arguments)
-            except Exception as error:  # a faulty part must not end membership
+            except Exception as error:  # a faulty listener must not end membership
                 emit(logger, Event.HANDLER_FAILED, detail=repr(error))
--- a/packages/loomyard-router/src/loomyard_router/members/membership.py
+++ b/packages/loomyard-router/src/loomyard_router/members/membership.py
@@ -12,7 +12,7 @@
 
 
 class MemberState(Enum):
-    """What is believed of a router."""
+    """The state of a router as this router knows it."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -22,7 +22,7 @@
 
 @frozen(kw_only=True)
 class Member:
-    """A router: its name, the incarnation of this start, its peer address and data centre."""
+    """A router; each start of it has a greater incarnation. ``address`` is for its peers."""
 
     name: str
     incarnation: int
@@ -32,41 +32,41 @@
 
 
 class Membership(Protocol):
-    """Know the routers of the fleet."""
+    """The routers of the fleet, as this router knows them."""
 
     @property
     def own(self) -> Member:
-        """Return this router; its incarnation may rise, so read it when it is needed."""
+        """Return this router; don't cache it, since its incarnation may rise."""
 
     def live(self) -> tuple[Member, ...]:
-        """Return the routers alive or suspected, this one included, by name.
+        """Return the routers that are alive or suspected, with this one, sorted by name.
 
-        Leaving ones are not among them, unless this one leaves and no other is left.
+        Leaving routers are left out; where none remains, this router alone is returned.
         """
 
     def find(self, name: str) -> Member | None:
-        """Return a router by name, also a dead one that is remembered."""
+        """Return a router by name, also a dead one that was not removed yet."""
 
     def suspect(self, name: str) -> None:
-        """Report that a router did not answer."""
+        """Report that a router did not answer, so that it is probed at once."""
 
     def subscribe(self, changed: Callable[[], None]) -> None:
-        """Call back after each change of the live routers; the call must not wait."""
+        """Call back after each change of a router or its state; the callback must not block."""
 
     def subscribe_pause(self, paused: Callable[[float], None]) -> None:
-        """Call back with the seconds of a pause of this process, once it is noticed."""
+        """Call back with the seconds of a pause of this process, after it ended."""
 
     def announce(self, topic: str, key: str, value: int, *, until: float) -> None:
-        """Spread a small item to all routers; the highest value of a key wins.
+        """Gossip a small item to all routers; the highest value of a key wins.
 
-        ``until`` is the monotonic time at which the item is forgotten.
+        ``until`` is the monotonic time at which the item expires.
         """
 
-    def subscribe_topic(self, topic: str, heard: Callable[[str, int], None]) -> None:
-        """Call back with key and value of each item learned from others, known ones first."""
+    def subscribe_topic(self, topic: str, received: Callable[[str, int], None]) -> None:
+        """Call back with key and value of each item received from others, known ones first."""
 
     def leave(self) -> None:
-        """Tell the others that this router is leaving; it stays until it stops."""
+        """Tell the other routers that this one is leaving; it stays a member until it stops."""
 
     def start(self) -> None:
         """Start the tasks."""
@@ -76,7 +76,7 @@
 
 
 class SoleMembership:
-    """A fleet of one router."""
+    """The membership of a fleet of one router."""
 
     def __init__(self, own: Member) -> None:
         self._own = own
@@ -103,7 +103,7 @@
     def announce(self, topic: str, key: str, value: int, *, until: float) -> None:
         pass
 
-    def subscribe_topic(self, topic: str, heard: Callable[[str, int], None]) -> None:
+    def subscribe_topic(self, topic: str, received: Callable[[str, int], None]) -> None:
         pass
 
     def leave(self) -> None:
--- a/packages/loomyard-router/src/loomyard_router/members/messages.py
+++ b/packages/loomyard-router/src/loomyard_router/members/messages.py
@@ -8,7 +8,7 @@
 
 
 class Liveness(IntEnum):
-    """What is believed of a router's process; at one version the greater one holds."""
+    """The liveness of a router; of two updates alike otherwise the greater one prevails."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -17,9 +17,9 @@
 
 @frozen
 class MemberUpdate:
-    """What is believed of a router.
+    """The state of a router, as gossiped.
 
-    ``refutation`` counts up within an incarnation, by the router itself only.
+    ``refutation`` counts within an incarnation; only the router itself increases it.
     """
 
     name: str
@@ -32,13 +32,13 @@
 
     @property
     def version(self) -> tuple[int, int, int]:
-        """Return what decides which of two updates holds."""
+        """Return the version; of two updates of a router the greater one prevails."""
         return self.incarnation, self.refutation, self.liveness
 
 
 @frozen
 class Item:
-    """An announced item; ``tenths`` of a second are left of its life."""
+    """An announced item, which expires in ``tenths`` of a second."""
 
     topic: str
     key: str
@@ -47,7 +47,7 @@
 
 
 class DatagramKind(IntEnum):
-    """What a datagram asks or answers."""
+    """The purpose of a datagram."""
 
     PING = 0
     ACK = 1
@@ -56,10 +56,10 @@
 
 @frozen
 class Datagram:
-    """A ping, an answer, or the wish that another router be pinged, with news.
+    """A ping, its answer or the request to ping another router, with gossip.
 
-    ``digest`` sums up the sender's table, so that equal tables cost no news. ``target`` is the
-    address to ping indirectly.
+    ``digest`` is that of the sender's table and items; where digests are equal, no old updates are
+    sent. ``target`` is the address to ping indirectly.
     """
 
     kind: DatagramKind
--- a/packages/loomyard-router/src/loomyard_router/members/pause_detector.py
+++ b/packages/loomyard-router/src/loomyard_router/members/pause_detector.py
@@ -1,4 +1,4 @@
-"""Notice that this process was slow or stood still."""
+"""Detection of pauses of this process."""
 
 from __future__ import annotations
 
@@ -7,9 +7,10 @@
 
 @define(eq=False, kw_only=True)
 class PauseDetector:
-    """Compare when a timer woke with when it was due; beyond ``bound`` seconds is a pause.
+    """Compare when a timer fired with when it was due.
 
-    Less than ``slack`` seconds are no lateness.
+    A delay of more than ``bound`` seconds is a pause of the process; one of up to ``slack`` seconds
+    is ignored.
     """
 
     slack: float
@@ -17,6 +18,6 @@
     due: float
 
     def check(self, now: float) -> tuple[float, bool]:
-        """Return by how many seconds this tick is late, and whether that is a pause."""
+        """Return by how many seconds the timer was late, and whether that is a pause."""
         late = now - self.due
         return (late, late > self.bound) if late > self.slack else (0.0, False)
--- a/packages/loomyard-router/src/loomyard_router/members/probes.py
+++ b/packages/loomyard-router/src/loomyard_router/members/probes.py
@@ -1,4 +1,4 @@
-"""Pings that wait for their answer."""
+"""Outstanding pings."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 @define(eq=False, kw_only=True)
 class Probe:
-    """A ping; ``indirect_at`` is when others are asked to ping, ``deadline`` when it failed.
+    """A ping without an answer yet.
 
-    With ``requester`` the ping is for another router, under that router's nonce.
+    Other routers are asked to ping at ``indirect_at``; the probe fails at ``deadline``. With
+    ``requester`` the ping is on behalf of the router at that address, under its nonce.
     """
 
     name: str
@@ -25,7 +26,7 @@
 
 @define(eq=False)
 class Probes:
-    """Probes by nonce."""
+    """Outstanding probes by nonce."""
 
     _probes: dict[int, Probe] = field(factory=dict)
     _nonce: int = 0
@@ -34,34 +35,34 @@
         return len(self._probes)
 
     def add(self, probe: Probe) -> int:
-        """Keep a probe and return its nonce."""
+        """Add a probe and return its nonce."""
         self._nonce += 1
         self._probes[self._nonce] = probe
         return self._nonce
 
-    def take(self, nonce: int) -> Probe | None:
-        """Return an answered probe, which ends."""
+    def pop(self, nonce: int) -> Probe | None:
+        """Remove and return an answered probe."""
         return self._probes.pop(nonce, None)
 
-    def checks(self, name: str) -> bool:
-        """Tell whether a router is being probed."""
+    def is_probing(self, name: str) -> bool:
+        """Tell whether a probe of a router by this one is outstanding."""
         return any(probe.name == name and not probe.requester for probe in self._probes.values())
 
     def due_indirect(self, now: float) -> list[tuple[int, Probe]]:
-        """Return each probe once when others shall be asked."""
+        """Return the probes whose ``indirect_at`` has come; each is returned once."""
         due = [(nonce, probe) for nonce, probe in self._probes.items() if probe.indirect_at <= now]
         for _, probe in due:
             probe.indirect_at = NEVER
         return due
 
-    def take_failed(self, now: float) -> list[Probe]:
-        """Return the own probes without an answer in time, which end."""
+    def pop_failed(self, now: float) -> list[Probe]:
+        """Remove all probes past their deadline and return those of this router itself."""
         late = [nonce for nonce, probe in self._probes.items() if probe.deadline <= now]
         failed = [self._probes.pop(nonce) for nonce in late]
         return [probe for probe in failed if not probe.requester]
 
     def postpone(self, seconds: float) -> None:
-        """Move all deadlines."""
+        """Move all deadlines by some seconds."""
         for probe in self._probes.values():
             probe.indirect_at += seconds
             probe.deadline += seconds
--- a/packages/loomyard-router/src/loomyard_router/members/seeds.py
+++ b/packages/loomyard-router/src/loomyard_router/members/seeds.py
@@ -1,4 +1,4 @@
-"""Addresses at which routers may be found: those of the settings and of the VM list."""
+"""Addresses at which routers may be found, from the settings and the VM list."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @define(eq=False)
 class Seeds:
-    """Where to look for routers; the VM list lags, so it tells of places, never of life."""
+    """Where to look for routers; the VM list lags, so it says nothing about their liveness."""
 
     settings: tuple[str, ...] = ()
     vms: tuple[Vm, ...] = ()
--- a/packages/loomyard-router/src/loomyard_router/members/swim.py
+++ b/packages/loomyard-router/src/loomyard_router/members/swim.py
@@ -1,10 +1,10 @@
 """Membership by random probes and gossip, after SWIM.
 
 In each period a router pings one other, in random round-robin order; one that does not answer is
-pinged through a few others, then suspected, and declared dead unless it refutes in time. News
-rides on these datagrams in bounded number. So a router sends the same number of datagrams
-whatever the size of the fleet, and holds one small record for each router: the sparse form that
-360 routers need is the form that 8 routers run.
+pinged through a few others, then suspected, and declared dead unless it refutes in time. A bounded
+number of updates is sent along with each of these datagrams. So a router sends the same number of
+datagrams whatever the size of the fleet, and holds one small record for each router; the protocol
+that 360 routers need also serves 8.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 from attrs import frozen
 
 from loomyard.events import Event, emit
-from loomyard_router.members.agreement import Agreement
-from loomyard_router.members.beliefs import Beliefs
-from loomyard_router.members.exchange import Exchange
+from loomyard_router.members.digest_monitor import DigestMonitor
+from loomyard_router.members.gossip_exchange import GossipExchange
 from loomyard_router.members.listeners import Listeners
+from loomyard_router.members.member_states import MemberStates
 from loomyard_router.members.membership import Member, MemberState
 from loomyard_router.members.messages import Datagram, DatagramKind, Liveness, MemberUpdate
 from loomyard_router.members.pause_detector import PauseDetector
@@ -42,17 +42,17 @@
 logger = logging.getLogger(__name__)
 
 TICKS_PER_PERIOD = 5
-# Probes alone take an item to all of so many routers in a second; to all of 19 they took up to
-# 1.8 s of the 2.5 s that a change has on its way (stepped time). So it is passed on at once in
-# larger fleets: each router tells a few others once.
-TOLD_WITHOUT = 10
-TELL_PAUSE = 0.1
-PRESENT = (MemberState.ALIVE, MemberState.SUSPECT)
+# Up to this size of the fleet the datagrams of probes spread an item to all within a second. In a
+# fleet of 19 that takes up to 1.8 s, of the 2.5 s in which a change has to reach all routers, so in
+# larger fleets each router that receives a new item also gossips it to a few others at once.
+MAX_FLEET_PROBES_ALONE = 10
+GOSSIP_INTERVAL = 0.1
+LIVE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
 
 
 @frozen(kw_only=True)
 class SwimTimes:
-    """Seconds of a probe period, and of a silence of the own timer that is a pause."""
+    """Seconds of a probe period, and the lateness of a timer beyond which the process paused."""
 
     period: float = 0.5
     pause_bound: float = 1.0
@@ -63,7 +63,7 @@
 
 
 class SwimMembership:
-    """The ``Membership`` of a fleet of routers."""
+    """The ``Membership`` of a fleet of routers, by SWIM."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
         self._table = MemberTable()
         self._topics = Topics(clock)
         self._seeds = Seeds(settings=seeds)
-        self._exchange = Exchange(
+        self._exchange = GossipExchange(
             table=self._table,
             topics=self._topics,
             datagrams=datagrams,
@@ -94,27 +94,33 @@
             clock=clock,
         )
         period = self._times.period
-        self._beliefs = Beliefs(
-            own=own, table=self._table, news=self._exchange.news, clock=clock, period=period
+        self._states = MemberStates(
+            own=own,
+            table=self._table,
+            gossip_queue=self._exchange.gossip_queue,
+            clock=clock,
+            period=period,
         )
         self._prober = Prober(
-            beliefs=self._beliefs,
+            states=self._states,
             exchange=self._exchange,
             seeds=self._seeds,
             clock=clock,
             period=period,
-            source=random.Random(seed),
+            rng=random.Random(seed),
         )
         now = clock.now()
         self._next_period = now
-        self._pause = PauseDetector(slack=self._times.tick, bound=self._times.pause_bound, due=now)
-        self._agreement = Agreement()
+        self._pause_detector = PauseDetector(
+            slack=self._times.tick, bound=self._times.pause_bound, due=now
+        )
+        self._digest_monitor = DigestMonitor()
         self._changed = Listeners()
         self._paused = Listeners()
         self._seen: tuple[Member, ...] = ()
         self._seen_revision = -1
         self._live: tuple[Member, ...] = ()
-        self._telling = False
+        self._gossiping = False
         self._task: gevent.Greenlet | None = None
         self._refresh()
 
@@ -132,25 +138,25 @@
     def suspect(self, name: str) -> None:
         record = self._table.find(name)
         if record is not None and record.live and name != self._name:
-            self._prober.check(record)
+            self._prober.probe_unless_probing(record)
 
     def subscribe(self, changed: Callable[[], None]) -> None:
-        self._changed.add(changed)
+        self._changed.subscribe(changed)
 
     def subscribe_pause(self, paused: Callable[[float], None]) -> None:
-        self._paused.add(paused)
+        self._paused.subscribe(paused)
 
     def announce(self, topic: str, key: str, value: int, *, until: float) -> None:
         if self._topics.announce(topic, key, value, until):
-            self._exchange.news.add((topic, key))
-            self._tell_soon()
+            self._exchange.gossip_queue.enqueue((topic, key))
+            self._gossip_soon()
 
-    def subscribe_topic(self, topic: str, heard: Callable[[str, int], None]) -> None:
-        self._topics.subscribe(topic, heard)
+    def subscribe_topic(self, topic: str, received: Callable[[str, int], None]) -> None:
+        self._topics.subscribe(topic, received)
 
     def leave(self) -> None:
-        if self._beliefs.leave():
-            self._prober.tell()
+        if self._states.leave():
+            self._prober.gossip()
             self._refresh()
 
     def start(self) -> None:
@@ -158,133 +164,133 @@
         self._task = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End the tasks; one that has left says that it is gone, so that nobody has to probe."""
+        """End the tasks; a leaving router declares itself dead, which saves others the probes."""
         if self._task is not None:
             self._task.kill()
-        if self._beliefs.own.leaving:
-            self._beliefs.farewell()
-            self._prober.tell()
+        if self._states.own.leaving:
+            self._states.declare_stopped()
+            self._prober.gossip()
         self._datagrams.stop()
 
     def apply_vm_list(self, vms: list[Vm]) -> None:
-        """Take over what the VM list says."""
+        """Apply the VM list: addresses of routers, and VMs that are leaving."""
         self._seeds.vms = tuple(vms)
         self._table.mark_leaving(self._seeds.leaving)
         if self._name in self._seeds.leaving:
             self.leave()
         self._refresh()
 
-    def lagging_behind(self) -> str:
-        """Return a router with which this one has disagreed for too long, if there is one."""
-        return self._agreement.overdue(self._clock.now())
+    def disagreeing_peer(self) -> str:
+        """Return a router whose table differs for too long, or an empty name."""
+        return self._digest_monitor.disagreeing_peer(self._clock.now())
 
-    def table(self) -> list[MemberUpdate]:
-        """Return all that is believed."""
+    def updates(self) -> list[MemberUpdate]:
+        """Return the updates of all routers."""
         return [record.update for record in self._table.records.values()]
 
-    def take_table(self, updates: list[MemberUpdate]) -> None:
-        """Take over what another router believes of all."""
+    def merge_table(self, updates: list[MemberUpdate]) -> None:
+        """Apply the updates of all routers from the table of another one."""
         for update in updates:
-            self._beliefs.hear(update)
-        self._agreement.reset()
+            self._states.receive(update)
+        self._digest_monitor.reset()
         self._refresh()
 
     def tick(self) -> None:
-        """Do what is due; called a few times in a period."""
+        """Do what is due; called at least once in a period."""
         now = self._clock.now()
-        self._note_silence(now)
-        self._prober.judge()
-        self._beliefs.bury(self._seeds.names)
+        self._check_own_pause(now)
+        self._prober.check_deadlines()
+        self._states.expire_suspicions(self._seeds.names)
         if now >= self._next_period:
             self._next_period = max(self._next_period + self._times.period, now)
             self._prober.begin_period()
         self._topics.expire()
         self._refresh()
-        self._pause.due = now + self._seconds_to_tick(now)
+        self._pause_detector.due = now + self._seconds_to_tick(now)
 
     def receive(self, data: bytes) -> None:
-        """Take a datagram in."""
+        """Handle a received datagram."""
         datagram = self._exchange.open(data, self._address)
-        if datagram is None or not self._is_other(datagram):
+        if datagram is None or not self._is_from_other(datagram):
             return
-        before = self._beliefs.own
+        before = self._states.own
         for update in datagram.updates:
-            self._beliefs.hear(update)
+            self._states.receive(update)
         for item in datagram.items:
-            if self._topics.hear(item):
-                self._exchange.news.add((item.topic, item.key))
-                self._tell_soon()
+            if self._topics.receive(item):
+                self._exchange.gossip_queue.enqueue((item.topic, item.key))
+                self._gossip_soon()
         agreed = datagram.digest == self._exchange.digest
-        self._agreement.note(datagram.sender, agreed=agreed, now=self._clock.now())
+        self._digest_monitor.record(datagram.sender, agreed=agreed, now=self._clock.now())
         sender = self._table.find(datagram.sender)
         if sender is not None:
             self._answer(datagram, sender)
-            if self._beliefs.own is not before and datagram.kind is DatagramKind.ACK:
-                # The sender doubted us and would else hear of our refutation late.
-                own = self._beliefs.own
+            if self._states.own is not before and datagram.kind is DatagramKind.ACK:
+                # The sender suspected this router; send the refutation without delay.
+                own = self._states.own
                 self._prober.send(DatagramKind.PING, sender.update.address, 0, [own])
         self._refresh()
 
-    def _tell_soon(self) -> None:
-        """Pass an item on without waiting for the next probe, where that takes several periods."""
-        if not self._telling and len(self._live) > TOLD_WITHOUT:
-            self._telling = True
-            gevent.spawn(self._tell)
+    def _gossip_soon(self) -> None:
+        """Gossip an item at once in a fleet that probes alone would reach too slowly."""
+        if not self._gossiping and len(self._live) > MAX_FLEET_PROBES_ALONE:
+            self._gossiping = True
+            gevent.spawn(self._run_gossip)
 
-    def _tell(self) -> None:
-        self._prober.tell()
-        # What comes meanwhile rides on the next one.
-        self._clock.sleep(TELL_PAUSE)
-        self._telling = False
+    def _run_gossip(self) -> None:
+        self._prober.gossip()
+        # Items received meanwhile are sent together afterwards.
+        self._clock.sleep(GOSSIP_INTERVAL)
+        self._gossiping = False
 
     def _run(self) -> None:
         while True:
             self.tick()
-            self._clock.sleep(self._pause.due - self._clock.now())
+            self._clock.sleep(self._pause_detector.due - self._clock.now())
 
     def _seconds_to_tick(self, now: float) -> float:
-        """Return a tick while a verdict is open, and else the time to the next period."""
-        if self._prober.busy or self._beliefs.doubting:
+        """Return a tick while a probe or suspicion is open, else the time to the next period."""
+        if self._prober.busy or self._states.has_suspects:
             return self._times.tick
         return max(self._next_period - now, 0.0)
 
-    def _note_silence(self, now: float) -> None:
-        """Take in that this process was slow or stood still, and so could hear nobody."""
-        late, paused = self._pause.check(now)
+    def _check_own_pause(self, now: float) -> None:
+        """Extend deadlines by the time for which this process was paused and received nothing."""
+        late, paused = self._pause_detector.check(now)
         if late:
             self._prober.postpone(late)
-            self._beliefs.postpone(late)
+            self._states.postpone(late)
         if paused:
             emit(logger, Event.ROUTER_PAUSED, seconds=round(late, 3))
-            self._paused.call(late)
+            self._paused.notify(late)
 
-    def _is_other(self, datagram: Datagram) -> bool:
+    def _is_from_other(self, datagram: Datagram) -> bool:
         if datagram.sender != self._name:
             return True
-        if datagram.incarnation != self._beliefs.own.incarnation:
+        if datagram.incarnation != self._states.own.incarnation:
             emit(logger, Event.MEMBER_NAME_TAKEN, name=self._name)
         return False
 
     def _answer(self, datagram: Datagram, sender: MemberRecord) -> None:
         known = sender.update
         if datagram.kind is DatagramKind.ACK:
-            self._prober.take_ack(datagram)
+            self._prober.handle_ack(datagram)
         elif datagram.kind is DatagramKind.INDIRECT_PING:
-            self._prober.ping_for(datagram, known)
+            self._prober.ping_on_behalf(datagram, known)
         else:
-            # One that is doubted here, or replaced by a newer start, has to hear of it.
+            # A sender that is suspected, dead or replaced by a newer start has to learn that.
             replaced = known.incarnation > datagram.incarnation
-            doubted = replaced or known.liveness is not Liveness.ALIVE
+            must_learn = replaced or known.liveness is not Liveness.ALIVE
             self._prober.send(
                 DatagramKind.ACK,
                 known.address,
                 datagram.nonce,
-                [known] if doubted else [],
-                everything=datagram.digest != self._exchange.digest,
+                [known] if must_learn else [],
+                include_old=datagram.digest != self._exchange.digest,
             )
 
     def _refresh(self) -> None:
-        """Tell listeners where what they can see has changed."""
+        """Notify listeners if a router or its state has changed."""
         if self._table.revision == self._seen_revision:
             return
         self._seen_revision = self._table.revision
@@ -292,13 +298,13 @@
         seen = tuple(self._table.member(record) for _, record in records)
         if seen == self._seen:
             return
-        _tell_changes(self._seen, seen)
+        _log_changes(self._seen, seen)
         self._seen = seen
-        self._live = tuple(m for m in seen if m.state in PRESENT) or (self.own,)
-        self._changed.call()
+        self._live = tuple(m for m in seen if m.state in LIVE_STATES) or (self.own,)
+        self._changed.notify()
 
 
-def _tell_changes(before: tuple[Member, ...], after: tuple[Member, ...]) -> None:
+def _log_changes(before: tuple[Member, ...], after: tuple[Member, ...]) -> None:
     known = {member.name: member for member in before}
     for member in after:
         old = known.get(member.name)
--- a/packages/loomyard-router/src/loomyard_router/members/table.py
+++ b/packages/loomyard-router/src/loomyard_router/members/table.py
@@ -1,4 +1,4 @@
-"""What a router believes of all routers."""
+"""The table of all routers that a router knows."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 @define(eq=False)
 class MemberRecord:
-    """The update that holds for a router, and the deadlines that hang on it."""
+    """The newest update of a router, and the deadlines that depend on it."""
 
     update: MemberUpdate
     suspected_until: float = NEVER
-    forget_at: float = NEVER
+    expires_at: float = NEVER
 
     @property
     def live(self) -> bool:
@@ -31,7 +31,7 @@
 
 @define(eq=False)
 class MemberTable:
-    """Records by name; an update replaces another only with a greater version."""
+    """Records by name; only an update of a greater version replaces another."""
 
     records: dict[str, MemberRecord] = field(factory=dict)
     vms_leaving: frozenset[str] = frozenset()
@@ -40,7 +40,7 @@
 
     @property
     def digest(self) -> int:
-        """Return a sum over what is believed of live routers, equal where tables agree."""
+        """Return a digest of the live routers, equal where tables agree."""
         if self._digest is None:
             updates = [record.update for record in self.live()]
             self._digest = unordered_digest([u.name, *u.version, u.leaving] for u in updates)
@@ -55,7 +55,7 @@
         return self.records.get(name)
 
     def apply(self, update: MemberUpdate) -> bool:
-        """Take an update over; false where what is believed is as new."""
+        """Apply an update; false where the known one is as new."""
         record = self.records.get(update.name)
         if record is None:
             self.records[update.name] = MemberRecord(update)
@@ -63,23 +63,23 @@
             return False
         else:
             record.update = update
-            record.suspected_until = record.forget_at = NEVER
-        self._note_change()
+            record.suspected_until = record.expires_at = NEVER
+        self._record_change()
         return True
 
     def mark_leaving(self, names: frozenset[str]) -> None:
-        """Take over which VMs the platform calls leaving."""
+        """Set the VMs that the VM list reports as leaving."""
         if names != self.vms_leaving:
             self.vms_leaving = names
-            self._note_change()
+            self._record_change()
 
-    def forget(self, name: str) -> None:
-        """Drop a record."""
+    def remove(self, name: str) -> None:
+        """Remove the record of a router."""
         del self.records[name]
-        self._note_change()
+        self._record_change()
 
     def member(self, record: MemberRecord) -> Member:
-        """Return a router as the other parts see it."""
+        """Return the router of a record in the form that other components use."""
         update = record.update
         return Member(
             name=update.name,
@@ -89,7 +89,7 @@
             state=self._state(update),
         )
 
-    def _note_change(self) -> None:
+    def _record_change(self) -> None:
         self.revision += 1
         self._digest = None
 
--- a/packages/loomyard-router/src/loomyard_router/members/table_sync.py
+++ b/packages/loomyard-router/src/loomyard_router/members/table_sync.py
@@ -1,7 +1,7 @@
-"""Fetch the whole table of another router where datagrams alone would take long to agree.
+"""Fetching of the whole member table where gossip alone would take long to converge.
 
 In a small fleet one datagram holds the table. A router that joins hundreds would learn the last of
-them after a minute; it asks one of them over a link instead.
+them only after a minute; it fetches the table of one of them over a link instead.
 """
 
 from __future__ import annotations
@@ -20,54 +20,54 @@
     from loomyard_router.members.swim import SwimMembership
     from loomyard_router.peers.links import PeerLinks
 
-INTERVAL = 0.5
+SYNC_INTERVAL = 0.5
 REQUEST_SECONDS = 2.0
 
 
 @peer_message("mt")
 @frozen(kw_only=True)
 class TableRequest:
-    """Ask for all that a router believes."""
+    """Request the member table of a router."""
 
 
 @peer_message("mu")
 @frozen(kw_only=True)
 class TableAnswer:
-    """All that a router believes."""
+    """The member table of a router."""
 
     updates: list[MemberUpdate] = field(factory=list)
 
 
 class TableSync:
-    """Answer requests for the table, and make one where this router lags behind."""
+    """Answer requests for the table, and fetch one where the own table stays different."""
 
     def __init__(self, members: SwimMembership, peers: PeerLinks, clock: Clock) -> None:
         self._members = members
         self._peers = peers
         self._clock = clock
         self._task: gevent.Greenlet | None = None
-        peers.handle(TableRequest, lambda _, __: TableAnswer(updates=members.table()))
+        peers.handle(TableRequest, lambda _, __: TableAnswer(updates=members.updates()))
 
     def start(self) -> None:
-        """Start to look for disagreement."""
+        """Start to compare periodically."""
         self._task = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End."""
+        """End the task."""
         if self._task is not None:
             self._task.kill()
 
     def sync(self) -> None:
-        """Fetch a table, if this router has lagged behind for too long."""
-        name = self._members.lagging_behind()
+        """Fetch and merge a table if digests have differed for too long."""
+        name = self._members.disagreeing_peer()
         if not name:
             return
         deadline = self._clock.now() + REQUEST_SECONDS
         match self._peers.request(name, TableRequest(), deadline):
             case Ok(TableAnswer(updates=updates)):
-                self._members.take_table(updates)
+                self._members.merge_table(updates)
 
     def _run(self) -> None:
         while True:
-            self._clock.sleep(INTERVAL)
+            self._clock.sleep(SYNC_INTERVAL)
             self.sync()
--- a/packages/loomyard-router/src/loomyard_router/members/topics.py
+++ b/packages/loomyard-router/src/loomyard_router/members/topics.py
@@ -1,4 +1,4 @@
-"""Small announced items, spread with the datagrams of membership."""
+"""Small announced items, gossiped with the datagrams of membership."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 MAX_ITEMS = 512
-MAX_LIFE = 600.0
-MAX_NAME = 128
+MAX_LIFETIME = 600.0
+MAX_NAME_CHARS = 128
 TENTHS = 10
-# An item about to end is not passed on, so that copies can't keep each other alive.
-LEAST_TENTHS = 5
+# An item about to expire is not sent any more, so that copies can't keep each other alive.
+MIN_TENTHS = 5
 
 
 @define(eq=False)
-class _Held:
+class _StoredItem:
     value: int
     until: float
 
@@ -34,66 +34,66 @@
     """The items of all topics; the highest value of a key wins."""
 
     clock: Clock
-    _held: dict[tuple[str, str], _Held] = field(factory=dict)
+    _items: dict[tuple[str, str], _StoredItem] = field(factory=dict)
     _digest: int | None = None
     _listeners: dict[str, list[Callable[[str, int], None]]] = field(factory=dict)
 
     @property
     def digest(self) -> int:
-        """Return a sum over the items, equal where they agree."""
+        """Return a digest of the items, equal where routers have the same ones."""
         if self._digest is None:
             self._digest = unordered_digest(
-                [topic, key, held.value] for (topic, key), held in self._held.items()
+                [topic, key, stored.value] for (topic, key), stored in self._items.items()
             )
         return self._digest
 
-    def subscribe(self, topic: str, heard: Callable[[str, int], None]) -> None:
-        """Call back with the items of a topic, known ones first."""
-        self._listeners.setdefault(topic, []).append(heard)
-        for (name, key), held in list(self._held.items()):
+    def subscribe(self, topic: str, received: Callable[[str, int], None]) -> None:
+        """Call back with key and value of the items of a topic, known ones first."""
+        self._listeners.setdefault(topic, []).append(received)
+        for (name, key), stored in list(self._items.items()):
             if name == topic:
-                heard(key, held.value)
+                received(key, stored.value)
 
     def announce(self, topic: str, key: str, value: int, until: float) -> bool:
-        """Hold an own item; false where nothing is new or there is no room."""
-        return self._hold(topic, key, value, until)
+        """Store an item of this router; false where it is not new or not accepted."""
+        return self._put(topic, key, value, until)
 
-    def hear(self, item: Item) -> bool:
-        """Hold an item of another router and tell listeners; false where nothing is new."""
+    def receive(self, item: Item) -> bool:
+        """Store an item of another router and notify listeners; false where it is not new."""
         until = self.clock.now() + item.tenths / TENTHS
-        if not self._hold(item.topic, item.key, item.value, until):
+        if not self._put(item.topic, item.key, item.value, until):
             return False
-        for heard in self._listeners.get(item.topic, []):
-            heard(item.key, item.value)
+        for received in self._listeners.get(item.topic, []):
+            received(item.key, item.value)
         return True
 
     def item(self, topic: str, key: str) -> Item | None:
-        """Return an item to pass on."""
-        held = self._held.get((topic, key))
-        if held is None:
+        """Return an item in the form to send, ``None`` where it is unknown or about to expire."""
+        stored = self._items.get((topic, key))
+        if stored is None:
             return None
-        tenths = int((held.until - self.clock.now()) * TENTHS)
-        return Item(topic, key, held.value, tenths) if tenths >= LEAST_TENTHS else None
+        tenths = int((stored.until - self.clock.now()) * TENTHS)
+        return Item(topic, key, stored.value, tenths) if tenths >= MIN_TENTHS else None
 
     def keys(self) -> Iterable[tuple[str, str]]:
         """Return topic and key of all items."""
-        return list(self._held)
+        return list(self._items)
 
     def expire(self) -> None:
-        """Forget items past their end."""
+        """Remove expired items."""
         now = self.clock.now()
-        for name in [name for name, held in self._held.items() if held.until <= now]:
-            del self._held[name]
+        for name in [name for name, stored in self._items.items() if stored.until <= now]:
+            del self._items[name]
             self._digest = None
 
-    def _hold(self, topic: str, key: str, value: int, until: float) -> bool:
-        held = self._held.get((topic, key))
-        if held is not None and held.value >= value:
+    def _put(self, topic: str, key: str, value: int, until: float) -> bool:
+        stored = self._items.get((topic, key))
+        if stored is not None and stored.value >= value:
             return False
-        full = held is None and len(self._held) >= MAX_ITEMS
-        if full or len(topic) + len(key) > MAX_NAME:
+        full = stored is None and len(self._items) >= MAX_ITEMS
+        if full or len(topic) + len(key) > MAX_NAME_CHARS:
             return False
-        until = min(until, self.clock.now() + MAX_LIFE)
-        self._held[topic, key] = _Held(value, until)
+        until = min(until, self.clock.now() + MAX_LIFETIME)
+        self._items[topic, key] = _StoredItem(value, until)
         self._digest = None
         return True
--- a/packages/loomyard-router/src/loomyard_router/members/vm_list_poller.py
+++ b/packages/loomyard-router/src/loomyard_router/members/vm_list_poller.py
@@ -1,4 +1,4 @@
-"""Read the VM list from time to time."""
+"""Periodic reading of the VM list."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class VmListPoller:
-    """Give the VMs to listeners after each reading; one that failed changes nothing."""
+    """Pass the VMs to listeners after each successful read of the VM list."""
 
     def __init__(self, vm_list: VmList, clock: Clock) -> None:
         self._vm_list = vm_list
@@ -32,34 +32,34 @@
         self._task: gevent.Greenlet | None = None
 
     def subscribe(self, listed: Callable[[list[Vm]], None]) -> None:
-        """Call back with the VMs of each reading."""
+        """Call back with the VMs of each successful read."""
         self._listeners.append(listed)
 
     def start(self) -> None:
-        """Start to read."""
+        """Start to read periodically."""
         self._task = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End."""
+        """End the task."""
         if self._task is not None:
             self._task.kill()
 
-    def read(self) -> None:
-        """Read once."""
+    def poll(self) -> None:
+        """Read the list once and notify the listeners."""
         match self._vm_list.read():
             case Ok(vms):
-                self._note(available=True)
+                self._record_availability(available=True)
                 for listener in self._listeners:
                     listener(vms)
             case Err(fault):
-                self._note(available=False, detail=fault.detail)
+                self._record_availability(available=False, detail=fault.detail)
 
     def _run(self) -> None:
         while True:
-            self.read()
+            self.poll()
             self._clock.sleep(INTERVAL)
 
-    def _note(self, *, available: bool, detail: str = "") -> None:
+    def _record_availability(self, *, available: bool, detail: str = "") -> None:
         if available != self._available:
             self._available = available
             event = Event.VM_LIST_RECOVERED if available else Event.VM_LIST_UNAVAILABLE
--- a/tests/test_loomyard_router/test_members/test_swim.py
+++ b/tests/test_loomyard_router/test_members/test_swim.py
@@ -1,4 +1,4 @@
-"""Tests of membership on a clock and a network that the test moves."""
+"""Tests of membership on a clock and a datagram network that the test advances."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from loomyard.outside.vm_list import Vm, VmState
 from loomyard_router.members.datagram_seal import DatagramSeal
 from loomyard_router.members.membership import Member, MemberState
-from loomyard_router.members.prober import TOLD_COPIES
+from loomyard_router.members.prober import GOSSIP_FANOUT
 from loomyard_router.members.swim import SwimMembership, SwimTimes
 from loomyard_router.members.table_sync import TableSync
 from loomyard_router.peers.fleet_secret import make_fleet_secret
@@ -23,7 +23,7 @@
 
 
 class Fleet:
-    """Routers in one process; ``run`` moves all but the stopped and paused ones."""
+    """Routers in one process; ``run`` ticks all but the killed and paused ones."""
 
     def __init__(self, count: int) -> None:
         self.clock = FakeClock()
@@ -66,8 +66,8 @@
                     member.tick()
                     self.network.flush()
 
-    def sleep_with_a_probe(self, name: str, seconds: float) -> None:
-        """Let a router sleep once it has pinged; datagrams to it wait until its first tick."""
+    def pause_after_probe(self, name: str, seconds: float) -> None:
+        """Pause a router once it has pinged; datagrams to it are delivered after its next tick."""
         receive = self.members[name].receive
         waiting: list[bytes] = []
         self.network.attach(f"{name}:1", waiting.append)
@@ -91,7 +91,7 @@
 
 
 class SwimTest(unittest.TestCase):
-    def test_a_killed_router_is_dead_everywhere(self) -> None:
+    def test_a_killed_router_is_declared_dead_everywhere(self) -> None:
         fleet = Fleet(5)
         self.assertEqual(fleet.live(), {("r0", "r1", "r2", "r3", "r4")})
         fleet.kill("r3")
@@ -99,7 +99,7 @@
         self.assertEqual(fleet.states("r3"), {MemberState.DEAD})
         self.assertEqual(fleet.live(), {("r0", "r1", "r2", "r4")})
 
-    def test_no_death_without_suspicion_first(self) -> None:
+    def test_a_router_is_suspected_before_it_is_declared_dead(self) -> None:
         fleet = Fleet(4)
         seen = []
         fleet.members["r0"].subscribe(lambda: seen.append(fleet.members["r0"].find("r3").state))
@@ -107,7 +107,7 @@
         fleet.run(DEAD_WITHIN)
         self.assertEqual(seen, [MemberState.SUSPECT, MemberState.DEAD])
 
-    def test_indirect_probes_save_a_router_that_one_cannot_reach(self) -> None:
+    def test_indirect_probes_prevent_suspicion_of_a_router_that_one_cannot_reach(self) -> None:
         fleet = Fleet(5)
         fleet.network.cut({"r0:1"}, {"r1:1"})
         states = set()
@@ -127,7 +127,7 @@
         self.assertEqual(fleet.states("r2"), {MemberState.ALIVE})
         self.assertEqual(fleet.members["r0"].find("r2").incarnation, 1)
 
-    def test_both_sides_of_a_partition_come_back(self) -> None:
+    def test_both_sides_of_a_partition_rejoin(self) -> None:
         fleet = Fleet(6)
         left, right = {"r0:1", "r1:1", "r2:1"}, {"r3:1", "r4:1", "r5:1"}
         fleet.network.cut(left, right)
@@ -151,7 +151,7 @@
             self.assertEqual(fleet.members[name].find("r3").state, MemberState.DEAD)
             self.assertEqual(fleet.members[name].find("r3").incarnation, 2)
 
-    def test_a_restart_whose_clock_is_behind_rises_above_its_past(self) -> None:
+    def test_a_restart_whose_clock_is_behind_raises_its_incarnation(self) -> None:
         fleet = Fleet(3)
         fleet.kill("r2")
         fleet.start("r2", incarnation=0)
@@ -160,45 +160,47 @@
         self.assertEqual(fleet.members["r2"].own.incarnation, 2)
         self.assertEqual(fleet.members["r0"].find("r2").incarnation, 2)
 
-    def test_strangers_and_replays_are_refused(self) -> None:
+    def test_routers_without_the_secret_and_replays_are_refused(self) -> None:
         fleet = Fleet(3)
-        stranger = fleet.start("r9", secret="wrong")
+        outsider = fleet.start("r9", secret="wrong")
         fleet.run(SPREAD_WITHIN)
-        self.assertEqual(stranger.live(), (stranger.own,))
+        self.assertEqual(outsider.live(), (outsider.own,))
         fleet.kill("r9")
         self.assertEqual(fleet.states("r9"), {None})
         refused = fleet.traffic["r1"].kinds["datagram"].refused_messages
         to_r1 = [data for _, to, data in fleet.network.carried if to == "r1:1"][-20:]
         for data in to_r1:
             fleet.members["r1"].receive(data)
-        # Datagrams of one router are not accepted by another either.
+        # A datagram for one router is not accepted by another.
         fleet.members["r1"].receive(next(d for _, to, d in fleet.network.carried if to == "r2:1"))
         now_refused = fleet.traffic["r1"].kinds["datagram"].refused_messages
         self.assertEqual(now_refused - refused, 21)
 
-    def test_a_paused_router_is_told_and_returns(self) -> None:
+    def test_a_paused_router_is_notified_and_returns(self) -> None:
         fleet = Fleet(4)
         paused = fleet.members["r1"]
-        told = []
-        paused.subscribe_pause(told.append)
-        paused.subscribe(lambda: told.append("change"))
+        notified = []
+        paused.subscribe_pause(notified.append)
+        paused.subscribe(lambda: notified.append("change"))
         fleet.run(5.0)
-        self.assertEqual(told, [])
+        self.assertEqual(notified, [])
         fleet.kill("r1")
         fleet.run(20.0)
         self.assertEqual(fleet.states("r1"), {MemberState.DEAD})
         fleet.network.attach("r1:1", paused.receive)
         fleet.members["r1"] = paused
         fleet.run(10.0)
-        self.assertEqual(len(told), 1, "told once, and nobody was declared dead by the sleeper")
-        self.assertAlmostEqual(told[0], 20.0, delta=2 * TIMES.tick)
+        self.assertEqual(len(notified), 1, "one pause, and the paused router declared none dead")
+        self.assertAlmostEqual(notified[0], 20.0, delta=2 * TIMES.tick)
         self.assertEqual(fleet.live(), {("r0", "r1", "r2", "r3")})
 
-    def test_items_reach_all_in_spite_of_loss(self) -> None:
+    def test_items_reach_all_despite_lost_and_duplicated_datagrams(self) -> None:
         fleet = Fleet(8)
-        heard = {name: [] for name in fleet.members}
+        received = {name: [] for name in fleet.members}
         for name, member in fleet.members.items():
-            member.subscribe_topic("leaving", lambda key, value, to=heard[name]: to.append(value))
+            member.subscribe_topic(
+                "leaving", lambda key, value, to=received[name]: to.append(value)
+            )
         fleet.network.loss = 0.3
         fleet.network.doubled = 0.2
         until = fleet.clock.now() + 60.0
@@ -206,7 +208,7 @@
         fleet.members["r1"].announce("leaving", "engine-1", 4, until=until)
         fleet.run(30.0)
         for name in fleet.members:
-            self.assertEqual(heard[name][-1:], [] if name == "r0" else [5], name)
+            self.assertEqual(received[name][-1:], [] if name == "r0" else [5], name)
         fleet.run(60.0)
         late = []
         fleet.members["r2"].subscribe_topic("leaving", lambda key, value: late.append(value))
@@ -224,18 +226,18 @@
         fleet.members["r0"].announce("version", "", 7, until=began + 60.0)
         fleet.run(0.5)
         self.assertEqual(59, len(at))
-        # Each router tells a few others once, and each of these answers.
+        # Each router gossips to a few others once, and each of these answers.
         more = sum(traffic.sent_messages for traffic in fleet.traffic.values()) - sent
-        self.assertLessEqual(more, 60 * 2 * (TOLD_COPIES + 2))
+        self.assertLessEqual(more, 60 * 2 * (GOSSIP_FANOUT + 2))
 
-    def test_a_late_joiner_hears_old_items(self) -> None:
+    def test_a_late_joiner_receives_old_items(self) -> None:
         fleet = Fleet(4)
         fleet.members["r0"].announce("version", "", 7, until=fleet.clock.now() + 500.0)
         fleet.run(60.0)
-        heard = []
-        fleet.start("r4").subscribe_topic("version", lambda key, value: heard.append(value))
+        received = []
+        fleet.start("r4").subscribe_topic("version", lambda key, value: received.append(value))
         fleet.run(SPREAD_WITHIN)
-        self.assertEqual(heard, [7])
+        self.assertEqual(received, [7])
 
     def test_a_joiner_of_a_large_fleet_fetches_the_table(self) -> None:
         fleet = Fleet(2)
@@ -257,16 +259,16 @@
             sync.sync()
         self.assertEqual(len(joiner.live()), 61)
 
-    def test_answers_that_waited_for_a_slow_router_count(self) -> None:
+    def test_answers_that_arrived_during_a_pause_count(self) -> None:
         fleet = Fleet(3)
         states = set()
         slow = fleet.members["r0"]
         slow.subscribe(lambda: states.update(member.state for member in slow.live()))
-        fleet.sleep_with_a_probe("r0", 2.0)
+        fleet.pause_after_probe("r0", 2.0)
         fleet.run(SPREAD_WITHIN)
         self.assertEqual(states, set())
 
-    def test_a_suspicion_does_not_run_out_while_its_holder_sleeps(self) -> None:
+    def test_a_suspicion_does_not_expire_during_a_pause_of_its_holder(self) -> None:
         fleet = Fleet(3)
         holder = fleet.members["r0"]
         states = set()
@@ -275,11 +277,11 @@
         while MemberState.SUSPECT not in states:
             fleet.run(TIMES.tick)
         fleet.network.heal()
-        fleet.sleep_with_a_probe("r0", 4.0)
+        fleet.pause_after_probe("r0", 4.0)
         fleet.run(SPREAD_WITHIN)
         self.assertEqual(states, {MemberState.SUSPECT, MemberState.ALIVE})
 
-    def test_leaving_is_known_and_refused_as_live(self) -> None:
+    def test_a_leaving_router_is_known_but_not_live(self) -> None:
         fleet = Fleet(4)
         fleet.members["r2"].leave()
         fleet.run(SPREAD_WITHIN)
@@ -290,16 +292,16 @@
         fleet.run(2 * TIMES.period)
         self.assertEqual(fleet.states("r2"), {MemberState.DEAD})
 
-    def test_the_vm_list_tells_places_and_leaving(self) -> None:
+    def test_the_vm_list_gives_addresses_and_leaving_vms(self) -> None:
         fleet = Fleet(2)
-        loner = fleet.start("r5", seed="nowhere")
+        alone = fleet.start("r5", seed="nowhere")
         fleet.run(SPREAD_WITHIN)
-        self.assertEqual(loner.live(), (loner.own,))
+        self.assertEqual(alone.live(), (alone.own,))
         vm = Vm(name="r1", data_centre="a", address="r1:1", state=VmState.LEAVING)
-        loner.apply_vm_list([vm])
+        alone.apply_vm_list([vm])
         fleet.run(SPREAD_WITHIN)
-        self.assertEqual([member.name for member in loner.live()], ["r0", "r5"])
-        self.assertEqual(loner.find("r1").state, MemberState.LEAVING)
+        self.assertEqual([member.name for member in alone.live()], ["r0", "r5"])
+        self.assertEqual(alone.find("r1").state, MemberState.LEAVING)
 
     def test_datagrams_per_router_do_not_grow_with_the_fleet(self) -> None:
         rates = []
