--- a/packages/loomyard-router/src/loomyard_router/peers/channel.py
+++ b/packages/loomyard-router/src/loomyard_router/peers/channel.py
@@ -120,7 +120,7 @@
         elif isinstance(event, Frame) and event.opcode is Opcode.BINARY and event.fin:
             self._frames.append(bytes(event.data))
         elif isinstance(event, Frame) and event.opcode in (Opcode.TEXT, Opcode.CONT, Opcode.BINARY):
-            # Routers send neither text nor fragments; an empty text frame makes the reader refuse.
+            # Routers send neither text nor fragments; passed on as empty text, the reader refuses.
             self._frames.append("")
 
     def _write(self) -> None:
--- a/packages/loomyard-router/src/loomyard_router/peers/websocket_links.py
+++ b/packages/loomyard-router/src/loomyard_router/peers/websocket_links.py
@@ -37,9 +37,11 @@
 
 logger = logging.getLogger(__name__)
 CONNECT_TIMEOUT = 1.0
+# Seconds after a failed attempt to connect in which messages to the peer are dropped.
 RETRY_SECONDS = 0.25
 IDLE_SECONDS = 60.0
-SWEEP_INTERVAL = 5.0
+IDLE_CHECK_INTERVAL = 5.0
+# Handshakes of accepted connections at a time; further connections are closed.
 MAX_HANDSHAKES = 64
 M = TypeVar("M")
 
@@ -242,7 +244,7 @@
 
     def _close_idle_links(self) -> None:
         while True:
-            self._clock.sleep(SWEEP_INTERVAL)
+            self._clock.sleep(IDLE_CHECK_INTERVAL)
             now = self._clock.now()
             idle_before = now - IDLE_SECONDS
             self._retry_at = {name: at for name, at in self._retry_at.items() if at > now}
--- a/tests/test_loomyard_router/test_feeds/test_store_outages.py
+++ b/tests/test_loomyard_router/test_feeds/test_store_outages.py
@@ -37,7 +37,7 @@
     def longest_after_outage(
         self, fleet: FeedFleet, outage: Outage, lead: float, routers: Iterable[str]
     ) -> float:
-        """Return the seconds until all routers have each change after an outage, at most."""
+        """Return the most seconds until all routers have a change made after an outage."""
         self.begin_outage(fleet, outage, lead, routers)
         fleet.run(OUTAGE)
         for store in fleet.stores.values():
@@ -54,7 +54,7 @@
             store.fail(routers, outage)
 
     def longest_of_changes(self, fleet: FeedFleet) -> float:
-        """Make changes; return the seconds until all routers have each of them, at most."""
+        """Make changes; return the most seconds until all routers have one of them."""
         began = fleet.clock.now()
         acked: dict[bytes, float] = {}
         for change in CHANGES:
@@ -63,7 +63,7 @@
             for store in fleet.stores.values():
                 acked[value] = store.publish("key", value)
         fleet.run(3 * BOUND)
-        # A router that has a newer change has this one, too.
+        # A newer change replaces this one, so its arrival counts as well.
         return max(
             min(fleet.last_arrival(feed, later) for later in acked if acked[later] >= at) - at
             for feed in FEEDS
@@ -105,7 +105,7 @@
                 self.assertLessEqual(self.longest_of_changes(fleet), BOUND)
 
     def longest_without_readers(self, count: int, outage: Outage, *, seed: int = 1) -> float:
-        """Return the longest time of a change where no reader has the store, in seconds."""
+        """Return the most seconds until all routers have a change where no reader has the store."""
         fleet = self.start(count, seed=seed)
         names = list(fleet.routers)
         readers = {one for feed in FEEDS for one in choose_readers(feed, names)}
--- a/tests/test_loomyard_router/test_feeds/test_store_rollbacks.py
+++ b/tests/test_loomyard_router/test_feeds/test_store_rollbacks.py
@@ -23,7 +23,7 @@
 MORE = 4
 
 
-class StoreErasTest(unittest.TestCase):
+class StoreRollbackTest(unittest.TestCase):
     def start(self, count: int, *, seed: int = 1) -> FeedFleet:
         fleet = FeedFleet(count, seed=seed)
         self.addCleanup(fleet.stop)
--- a/tests/test_loomyard_router/test_feeds/test_store_rollbacks_model.py
+++ b/tests/test_loomyard_router/test_feeds/test_store_rollbacks_model.py
@@ -205,7 +205,7 @@
                 self.seen_unusable[name] = seen | (out - usable)
 
 
-class StoreErasModelTest(unittest.TestCase):
+class StoreRollbackModelTest(unittest.TestCase):
     def test_routers_stay_consistent_through_rollbacks(self) -> None:
         run_state_machine_as_test(StoreWithRollbacks, settings=RUN_SETTINGS)
 
