--- a/packages/loomyard-router/src/loomyard_router/routed/__init__.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/__init__.py
@@ -1,1 +1,1 @@
-"""Requests on routes: reading, sending, repeating, relaying, answering."""
+"""Requests on routes: decoding, attempts at targets, retries, relay of the answer."""
--- a/packages/loomyard-router/src/loomyard_router/routed/answer_parser.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/answer_parser.py
@@ -1,4 +1,4 @@
-"""One answer on a connection, and whether bytes came after it."""
+"""Parser of one HTTP answer that detects bytes after its end."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class AnswerParser(HTTPResponse):
-    """Parse the bytes of one answer; ``excess`` is set where more came."""
+    """Parse one answer; ``ended`` is set at its end, ``excess`` where more bytes follow."""
 
     def __init__(self, method: str) -> None:
         super().__init__(method=method)
@@ -18,7 +18,7 @@
 
     @property
     def final(self) -> bool:
-        """Tell whether the head of the answer is there, interim ones passed."""
+        """Tell whether the head of the final answer is complete; interim (1xx) ones are skipped."""
         return self.headers_complete and self.get_code() >= FIRST_FINAL_STATUS
 
     def feed(self, data: str | bytes) -> None:
@@ -32,8 +32,8 @@
                 raise
             self.excess = True
 
-    def take_body(self) -> bytes:
-        """Return the bytes of the body that were not taken yet."""
+    def read_body(self) -> bytes:
+        """Return the bytes of the body that were received since the last call."""
         data = bytes(self._body_buffer)
         self._body_buffer.clear()
         return data
--- a/packages/loomyard-router/src/loomyard_router/routed/stream_passing.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/answer_relay.py
@@ -1,4 +1,4 @@
-"""Pass an answer on as it comes, and go on at another target where it may."""
+"""Relay of an answer as it arrives; a broken stream is resumed at another target if allowed."""
 
 from __future__ import annotations
 
@@ -23,58 +23,62 @@
 OK = 200
 
 
-class StreamPassing:
-    """One answer on its way to its caller; the head of the first target stays that of all."""
+class AnswerRelay:
+    """Relay one answer to its caller; after a resume the head of the first target still stands."""
 
     def __init__(
-        self, forwarder: Forwarder, request: RoutedRequest, exchange: Exchange, pace: EventCoalescer
+        self,
+        forwarder: Forwarder,
+        request: RoutedRequest,
+        exchange: Exchange,
+        coalescer: EventCoalescer,
     ) -> None:
         self._forwarder = forwarder
-        self._pace = pace
+        self._coalescer = coalescer
         self._request = request
         self._exchange: Exchange | None = exchange
         after = request.head.last_event
-        self._events = EventStream(after=int(after) if after.isdigit() else -1)
-        self._left = max(0, request.route.max_attempts - 1)
+        self._event_stream = EventStream(after=int(after) if after.isdigit() else -1)
+        self._resumes_left = max(0, request.route.max_attempts - 1)
 
     def close(self) -> None:
-        """End, also in the middle."""
+        """Release the exchange, also before its end."""
         exchange, self._exchange = self._exchange, None
         if exchange is not None:
             self._forwarder.close(self._request, exchange)
 
-    def end_unread(self, detail: str) -> None:
-        """End where the caller does not read; ``detail`` says why it was broken off, if it was."""
+    def finish_unread(self, detail: str) -> None:
+        """Finish an answer that its caller did not read; ``detail`` is why it was aborted."""
         if detail:
             self._request.trace.broken = detail
         self.close()
 
     def blocks(self, first: bytes) -> Generator[bytes, None, None]:
-        """Pass a long answer on; one that breaks off ends the connection to the caller."""
+        """Relay a long answer; where it breaks off, the connection to the caller is closed."""
         yield first
         while block := self._read():
             yield block
-        self._forwarder.note_whole(self._request)
+        self._forwarder.record_completion(self._request)
 
     def events(self, first: bytes) -> Generator[bytes, None, None]:
-        """Pass whole events on."""
+        """Relay the complete events of a stream."""
         block = first
         while True:
             if not block:
-                if self._events.pending:
-                    self._break("the stream ended within an event")
-                self._forwarder.note_whole(self._request)
+                if self._event_stream.pending:
+                    self._fail("the stream ended in the middle of an event")
+                self._forwarder.record_completion(self._request)
                 return
-            whole = self._events.feed(block)
-            if whole is None:
-                self._break("events are missing or have no end")
-            if whole:
-                yield whole
-                self._pace.hold()
-            block = self._read_on()
-
-    def _read_on(self) -> bytes:
-        """Read the next block, of another target where this one broke off."""
+            events = self._event_stream.feed(block)
+            if events is None:
+                self._fail("events are missing or too long")
+            if events:
+                yield events
+                self._coalescer.delay_read()
+            block = self._read_or_resume()
+
+    def _read_or_resume(self) -> bytes:
+        """Read the next block, from another target where this one broke off."""
         assert self._exchange is not None
         try:
             return self._exchange.connection.read_block(self._request.deadline)
@@ -86,46 +90,46 @@
         try:
             return self._exchange.connection.read_block(self._request.deadline)
         except ExchangeBrokenError as error:
-            self._cut(str(error))
+            self._fail_cut_off(str(error))
         raise AssertionError("a broken answer raises")
 
     def _resume(self, detail: str) -> bytes:
         request = self._request
         exchange = self._exchange
         assert exchange is not None
-        if request.presence.gone or not request.route.resumable or not self._left:
-            self._cut(detail)
-        last_event = str(self._events.last_id) if self._events.last_id >= 0 else ""
-        self._forwarder.note_broken(request, exchange.place, detail)
+        if request.presence.gone or not request.route.resumable or not self._resumes_left:
+            self._fail_cut_off(detail)
+        last_event = str(self._event_stream.last_id) if self._event_stream.last_id >= 0 else ""
+        self._forwarder.record_broken(request, exchange.permit, detail)
         self.close()
-        self._left -= 1
-        opened = self._forwarder.reopen(request, exchange.place, last_event=last_event)
+        self._resumes_left -= 1
+        opened = self._forwarder.reopen(request, exchange.permit, last_event=last_event)
         if opened.is_err():
-            self._break(f"{detail}; {opened.unwrap_err().detail}")
-        resumed, first, whole = opened.unwrap()
+            self._fail(f"{detail}; {opened.unwrap_err().detail}")
+        resumed, first, complete = opened.unwrap()
         self._exchange = resumed
-        if whole or resumed.status != OK:
-            self._break(f"{detail}; the other target answered with status {resumed.status}")
-        self._events.restart()
+        if complete or resumed.status != OK:
+            self._fail(f"{detail}; the other target answered with status {resumed.status}")
+        self._event_stream.restart()
         emit(
             logger,
             Event.STREAM_RESUMED,
             request=request.head.attempt_id,
-            target=resumed.place.target.id,
+            target=resumed.permit.target.id,
             after=last_event,
             detail=detail,
         )
         return first
 
-    def _cut(self, detail: str) -> None:
-        """End an answer that its target broke off, unless its caller left."""
+    def _fail_cut_off(self, detail: str) -> None:
+        """Report a broken answer to the crash guard, unless its caller has gone, and raise."""
         if self._exchange is not None and not self._request.presence.gone:
-            self._forwarder.note_cut(self._request, self._exchange.place)
-        self._break(detail)
+            self._forwarder.record_abort(self._request, self._exchange.permit)
+        self._fail(detail)
 
-    def _break(self, detail: str) -> None:
+    def _fail(self, detail: str) -> None:
         gone = self._request.presence.gone
-        self._request.trace.broken = "the caller left" if gone else detail
+        self._request.trace.broken = "the caller has gone" if gone else detail
         emit(
             logger,
             Event.CALLER_GONE if gone else Event.STREAM_BROKEN,
--- a/packages/loomyard-router/src/loomyard_router/routed/app.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/app.py
@@ -1,4 +1,4 @@
-"""The WSGI application of callers on routes."""
+"""WSGI application that serves callers on routes."""
 
 from __future__ import annotations
 
@@ -41,15 +41,16 @@
 HEADERS_KEY = "loomyard.headers"
 NOT_READY_RETRY_AFTER = 0.5
 OVERLOADED = Fault(
-    code=ResultCode.ROUTER_OVERLOADED, detail="this router is behind with its work", retry_after=0.6
+    code=ResultCode.ROUTER_OVERLOADED, detail="the event loop of this router lags", retry_after=0.6
 )
-STOPPING = Fault(code=ResultCode.STOPPING, detail="this router is being stopped", retry_after=0.05)
+STOPPING = Fault(code=ResultCode.STOPPING, detail="this router is stopping", retry_after=0.05)
 
 
 class RoutedApp:
-    """Answer requests on routes, each by the configuration in force when it arrives.
+    """Serve requests on routes, each under the configuration in force when it arrives.
 
-    While ``ending`` answers close their connections; while ``closing`` nothing is served any more.
+    While ``closing_connections`` returns true, answers close their connections; while
+    ``refusing_requests`` does, every request is refused.
     """
 
     def __init__(
@@ -68,11 +69,11 @@
         self._clock = clock
         self._bodies = bodies
         self._holder = holder
-        self._dialect = codec
+        self._codec = codec
         self._forwarder = forwarder
         self._meters = meters
-        self._ending = closing_connections
-        self._closing = refusing_requests
+        self._closing_connections = closing_connections
+        self._refusing_requests = refusing_requests
         self._overloaded = overloaded
 
     def __call__(self, environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
@@ -80,9 +81,9 @@
         headers = environ[HEADERS_KEY]
         if self._overloaded():
             return self._refuse(environ, start_response, OVERLOADED, None)
-        if self._closing():
+        if self._refusing_requests():
             return self._refuse(environ, start_response, STOPPING, None)
-        read = self._read(environ, headers, arrived_at)
+        read = self._read_request(environ, headers, arrived_at)
         if read.is_err():
             return self._refuse(environ, start_response, read.unwrap_err(), None)
         request = read.unwrap()
@@ -96,38 +97,38 @@
             return self._refuse(environ, start_response, outcome.unwrap_err(), request)
         return self._answer(start_response, outcome.unwrap(), request)
 
-    def _read(
+    def _read_request(
         self, environ: Environ, headers: list[tuple[str, str]], now: float
     ) -> Result[RoutedRequest, Fault]:
         table = self._holder.table
         if table is None:
-            detail = "this router knows no configuration yet"
+            detail = "this router has not received a configuration yet"
             code = ResultCode.NOT_READY
             return Err(Fault(code=code, detail=detail, retry_after=NOT_READY_RETRY_AFTER))
-        head = self._dialect.decode_request_head(headers, now)
+        head = self._codec.decode_request_head(headers, now)
         if head.is_err():
             return Err(head.unwrap_err())
         target = environ[TARGET_KEY]
         route = table.find(_host(environ), target.partition("?")[0])
         if route is None:
-            detail = f"no route of version {table.version}"
+            detail = f"no route of configuration version {table.version} matches the request"
             return Err(Fault(code=ResultCode.UNKNOWN_PATH, detail=detail))
         account = self._authenticate(table, route, head.unwrap())
         if account.is_err():
             return Err(account.unwrap_err())
         terms = account.unwrap()
-        lease = self._bodies.open(PUBLIC_ACCOUNT if terms is None else terms.name)
+        reservation = self._bodies.make_reservation(PUBLIC_ACCOUNT if terms is None else terms.name)
         try:
-            body = read_body(environ, table.limits.body_bytes, lease)
+            body = read_body(environ, table.limits.body_bytes, reservation)
         except BaseException:
-            lease.end()
+            reservation.release()
             raise
         if body.is_err():
-            lease.end()
+            reservation.release()
             return Err(body.unwrap_err())
-        request = self._make(environ, head.unwrap(), route, terms, body.unwrap(), now)
+        request = self._make_request(environ, head.unwrap(), route, terms, body.unwrap(), now)
         request.table_version = table.version
-        request.release_body = lease.end
+        request.release_body = reservation.release
         return Ok(request)
 
     def _authenticate(
@@ -137,11 +138,11 @@
             return Ok(None)
         account = table.authenticate(head.key)
         if account is None:
-            detail = f"no client account of version {table.version} has this key"
+            detail = f"no client account of configuration version {table.version} has this key"
             return Err(Fault(code=ResultCode.UNKNOWN_KEY, detail=detail))
         return Ok(account)
 
-    def _make(
+    def _make_request(
         self,
         environ: Environ,
         head: RequestHead,
@@ -170,22 +171,24 @@
         self, start_response: StartResponse, answer: Answer, request: RoutedRequest
     ) -> Iterable[bytes]:
         headers = [(n, v) for n, v in answer.headers if n.lower() not in DROPPED_HEADERS]
-        if self._ending():
+        if self._closing_connections():
             headers.append(("Connection", "close"))
         start_response(status_line(answer.status), headers)
 
-        def ended() -> None:
+        def finish() -> None:
             request.release_body()
             broken = request.trace.broken
             code = ResultCode.ANSWER_INCOMPLETE if broken else 0
-            more = {"why": broken} if broken else {}
-            self._end(request, status=answer.status, code=code, executed=Executed.YES, **more)
+            extra = {"why": broken} if broken else {}
+            self._report_end(
+                request, status=answer.status, code=code, executed=Executed.YES, **extra
+            )
 
         if isinstance(answer.body, list):
-            # The server states the length of a body that it has whole.
-            ended()
+            # The WSGI server sets Content-Length for a body that is a list of blocks.
+            finish()
             return answer.body
-        return ReportedBody(answer.body, ended)
+        return ReportedBody(answer.body, finish)
 
     def _refuse(
         self,
@@ -194,9 +197,9 @@
         fault: Fault,
         request: RoutedRequest | None,
     ) -> Iterable[bytes]:
-        status, headers = self._dialect.encode_refusal(fault)
+        status, headers = self._codec.encode_refusal(fault)
         if request is not None:
-            self._end(
+            self._report_end(
                 request,
                 status=status,
                 code=fault.code,
@@ -209,18 +212,18 @@
             emit(
                 logger,
                 Event.REQUEST_REFUSED,
-                request=dict(environ[HEADERS_KEY]).get(self._dialect.id_header, ""),
+                request=dict(environ[HEADERS_KEY]).get(self._codec.id_header, ""),
                 path=environ[TARGET_KEY],
                 status=int(status),
                 code=int(fault.code),
                 why=fault.detail,
             )
-        # A caller comes back on another connection, so this one would only rest.
+        # Callers retry on another connection, so this one would only stay idle.
         headers.append(("Connection", "close"))
         start_response(status_line(status), headers)
         return [b""]
 
-    def _end(
+    def _report_end(
         self,
         request: RoutedRequest,
         *,
@@ -229,13 +232,13 @@
         executed: Executed,
         **more: object,
     ) -> None:
-        """Measure a request and write its line."""
+        """Record the metrics of a finished request and write its log line."""
         trace = request.trace
         now = self._clock.now()
         self._meters.count(ResultCode(code) if code else None)
         measured = (
-            (Phase.QUEUE, trace.placed_at),
-            (Phase.FIRST_TOKEN, trace.first_at),
+            (Phase.QUEUE, trace.slot_at),
+            (Phase.FIRST_TOKEN, trace.answer_started_at),
             (Phase.TOTAL, now),
         )
         for phase, at in measured:
@@ -255,16 +258,16 @@
             executed=executed.value,
             target=trace.target,
             attempts=trace.attempts,
-            taken=trace.taken,
-            choice=trace.choice,
+            taken=trace.slots_in_use,
+            choice=trace.target_rank,
             objection=trace.refusal_reason,
-            expected_ms=round(trace.expected * 1000),
+            expected_ms=round(trace.expected_ttft * 1000),
             share_used=None if trace.share_used is None else round(trace.share_used, 2),
             prompt=request.head.prompt_tokens,
             shared=request.shared_prompt_tokens,
             cost=round(request.cost),
-            placed_ms=_milliseconds(request.arrived_at, trace.placed_at),
-            first_ms=_milliseconds(request.arrived_at, trace.first_at),
+            placed_ms=_milliseconds(request.arrived_at, trace.slot_at),
+            first_ms=_milliseconds(request.arrived_at, trace.answer_started_at),
             ended_ms=_milliseconds(request.arrived_at, now),
             **more,
         )
--- a/packages/loomyard-router/src/loomyard_router/routed/attempt_sender.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Send one attempt to one target."""
+"""Sending of one attempt to one target."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from loomyard_router.own_time import NEGLIGIBLE_LAG, take_turn
 from loomyard_router.routed.target_connection import (
     ExchangeBrokenError,
-    ExchangeLateError,
+    ExchangeTimeoutError,
     TargetConnection,
 )
 
@@ -32,30 +32,30 @@
 class Exchange:
     """An attempt whose answer has begun."""
 
-    place: SlotPermit
+    permit: SlotPermit
     connection: TargetConnection
     status: int
     headers: list[tuple[str, str]]
 
     @property
     def failed(self) -> bool:
-        """Tell whether the target answered with an error of its own."""
+        """Tell whether the target answered with a server error (5xx)."""
         return self.status >= SERVER_ERROR
 
 
 class AttemptSender:
-    """Send requests; no attempt is ever sent twice here."""
+    """Send attempts, each at most once; retries are up to the forwarder."""
 
     def __init__(
-        self, clock: Clock, registry: TargetRegistry, pool: ConnectionPool, dialect: TargetCodec
+        self, clock: Clock, registry: TargetRegistry, pool: ConnectionPool, codec: TargetCodec
     ) -> None:
         self._clock = clock
         self._registry = registry
         self._pool = pool
-        self._dialect = dialect
+        self._codec = codec
 
     def send(
-        self, request: RoutedRequest, place: SlotPermit, *, last_event: str, answer_by: float
+        self, request: RoutedRequest, permit: SlotPermit, *, last_event: str, answer_by: float
     ) -> Result[Exchange, Fault]:
         """Send and wait for the head of the answer.
 
@@ -63,77 +63,85 @@
         ``ANSWER_LOST``, ``ANSWER_INVALID``, ``ANSWER_LATE``: it may have run. ``CALLER_GONE``.
         """
         try:
-            connection = self._pool.acquire(place.target, repeatable=request.route.repeatable)
+            connection = self._pool.acquire(permit.target, repeatable=request.route.repeatable)
         except OSError as error:
-            return Err(self._judge_unconnected(error))
+            return Err(self._connect_fault(error))
         request.presence.subscribe(connection.close)
         try:
-            return self._exchange(request, place, connection, last_event, answer_by)
-        except ExchangeLateError as error:
+            return self._exchange(request, permit, connection, last_event, answer_by)
+        except ExchangeTimeoutError as error:
             connection.close()
-            return Err(_maybe_run(ResultCode.ANSWER_LATE, str(error)))
+            return Err(_uncertain_fault(ResultCode.ANSWER_LATE, str(error)))
         except ExchangeBrokenError as error:
             connection.close()
             if request.presence.gone:
-                return Err(_maybe_run(ResultCode.CALLER_GONE, "the caller left"))
-            return Err(_maybe_run(ResultCode.ANSWER_LOST, str(error)))
+                return Err(_uncertain_fault(ResultCode.CALLER_GONE, "the caller left"))
+            return Err(_uncertain_fault(ResultCode.ANSWER_LOST, str(error)))
         except BaseException:
             connection.close()
             raise
 
-    def _judge_unconnected(self, error: OSError) -> Fault:
-        """Tell whether a connection that did not come up says something of the target."""
+    def _connect_fault(self, error: OSError) -> Fault:
+        """Return the fault of a failed connect; a timeout in a lagging router is its own fault."""
         if isinstance(error, TimeoutError) and take_turn(self._clock) > NEGLIGIBLE_LAG:
-            detail = "this router was too late to see a connection come up"
+            detail = "the connect timed out while the event loop of this router lagged"
             return Fault(code=ResultCode.ROUTER_OVERLOADED, detail=detail)
         return Fault(code=ResultCode.TARGET_UNREACHABLE, detail=f"no connection: {error}")
 
     def finish(self, request: RoutedRequest, exchange: Exchange) -> None:
-        """Keep the connection if its answer was read whole, and close it otherwise."""
+        """Return the connection to the pool, which closes it unless it is reusable."""
         request.presence.unsubscribe(exchange.connection.close)
-        self._pool.release(exchange.place.target, exchange.connection)
+        self._pool.release(exchange.permit.target, exchange.connection)
 
     def _exchange(
         self,
         request: RoutedRequest,
-        place: SlotPermit,
+        permit: SlotPermit,
         connection: TargetConnection,
         last_event: str,
         answer_by: float,
     ) -> Result[Exchange, Fault]:
-        left = request.deadline - self._clock.now()
-        head = self._dialect.encode_request_head(
+        remaining = request.deadline - self._clock.now()
+        head = self._codec.encode_request_head(
             request,
-            place.target,
-            milliseconds=max(1, math.floor(left * MILLISECONDS)),
+            permit.target,
+            milliseconds=max(1, math.floor(remaining * MILLISECONDS)),
             last_event=last_event,
         )
         connection.send(head, request.body, request.method, answer_by)
         connection.read_head(answer_by)
         headers = connection.headers
-        word = self._dialect.decode_answer_head(connection.status, headers)
-        self._registry.apply_notice(place.target, word.notice)
-        if word.attempt_id and word.attempt_id != request.head.attempt_id:
+        answer = self._codec.decode_answer_head(connection.status, headers)
+        self._registry.apply_notice(permit.target, answer.notice)
+        if answer.attempt_id and answer.attempt_id != request.head.attempt_id:
             connection.close()
-            return Err(_maybe_run(ResultCode.ANSWER_INVALID, "the answer is to another attempt"))
-        if word.not_executed:
-            self._read_out(connection, answer_by)
+            return Err(
+                _uncertain_fault(ResultCode.ANSWER_INVALID, "the answer is for another attempt")
+            )
+        if answer.not_executed:
+            self._drain(connection, answer_by)
             request.presence.unsubscribe(connection.close)
-            self._pool.release(place.target, connection)
-            detail = f"the target did not run it: status {connection.status}"
+            self._pool.release(permit.target, connection)
+            detail = f"the target did not run the request: status {connection.status}"
             return Err(Fault(code=ResultCode.TARGET_REFUSED, detail=detail))
-        if not word.attempt_id:
+        if not answer.attempt_id:
             connection.close()
-            return Err(_maybe_run(ResultCode.ANSWER_INVALID, "the answer names no attempt"))
-        if not word.authentic:
+            return Err(_uncertain_fault(ResultCode.ANSWER_INVALID, "the answer names no attempt"))
+        if not answer.authentic:
             connection.close()
-            return Err(_maybe_run(ResultCode.ANSWER_INVALID, "no target vouches for the answer"))
+            return Err(
+                _uncertain_fault(
+                    ResultCode.ANSWER_INVALID, "the answer lacks the stamp of a target"
+                )
+            )
         return Ok(
-            Exchange(place=place, connection=connection, status=connection.status, headers=headers)
+            Exchange(
+                permit=permit, connection=connection, status=connection.status, headers=headers
+            )
         )
 
-    def _read_out(self, connection: TargetConnection, deadline: float) -> None:
-        """Read the short body of a refusal, so that the connection can be used again."""
+    def _drain(self, connection: TargetConnection, deadline: float) -> None:
+        """Read the short body of a refusal, so that the connection can be reused."""
         try:
             while connection.read_block(deadline):
                 pass
@@ -141,5 +149,5 @@
             connection.close()
 
 
-def _maybe_run(code: ResultCode, detail: str) -> Fault:
+def _uncertain_fault(code: ResultCode, detail: str) -> Fault:
     return Fault(code=code, detail=detail, executed=Executed.UNKNOWN)
--- a/packages/loomyard-router/src/loomyard_router/routed/body_budget.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/body_budget.py
@@ -1,4 +1,4 @@
-"""How many bytes of request bodies a router holds for callers at once."""
+"""Limit on the memory that request bodies take in a router."""
 
 from __future__ import annotations
 
@@ -13,94 +13,100 @@
 if TYPE_CHECKING:
     import random
 
-# Bodies up to this size are small: prompts of some ten thousand tokens.
+# Bodies up to this size count as small: prompts of some ten thousand tokens.
 SMALL_BYTES = 1 << 16
-# Small bodies keep this part of the budget to themselves.
-SMALL_PART = 0.25
-# One account has at most this part of what is not kept for small ones.
-ACCOUNT_PART = 0.5
-# Bodies of some megabytes leave with their answers, after a second or so.
-RETRY_LEAST = 0.5
-RETRY_MOST = 1.5
+# Fraction of the budget that is reserved for small bodies.
+SMALL_FRACTION = 0.25
+# Fraction of the rest of the budget that one client account may use for several large bodies.
+ACCOUNT_FRACTION = 0.5
+# Seconds; a body of some megabytes is released with its answer, after a second or so.
+MIN_RETRY_AFTER = 0.5
+MAX_RETRY_AFTER = 1.5
 
 
 class BodyBudget:
-    """Lend bytes to bodies before they are read; who finds none is refused, and nothing was read.
+    """Reserve memory for request bodies; a body without room is refused.
 
-    Small bodies find the whole budget, larger ones what is not kept for small ones, and of that one
-    account a part, but always one body. ``most`` is in bytes.
+    Small bodies may use the whole budget of ``max_bytes``, large ones all but ``SMALL_FRACTION`` of
+    it. Of the latter, an account with several large bodies may use ``ACCOUNT_FRACTION``.
     """
 
-    def __init__(self, most: int, source: random.Random) -> None:
-        self._most = most
-        self._random = source
-        self._lent = 0
-        self._lent_large = 0
-        self._large: Counter[str] = Counter()
-        self.peak = 0
+    def __init__(self, max_bytes: int, rng: random.Random) -> None:
+        self._max_bytes = max_bytes
+        self._rng = rng
+        self._held_bytes = 0
+        self._large_bytes = 0
+        self._large_by_account: Counter[str] = Counter()
+        self.peak_bytes = 0
         self.refused = 0
 
     @property
-    def lent(self) -> int:
-        """Return the bytes that bodies hold now."""
-        return self._lent
+    def held_bytes(self) -> int:
+        """Return the number of bytes that are reserved now."""
+        return self._held_bytes
 
     @property
     def metrics(self) -> BodyMetrics:
-        """Return what operators see of it."""
+        """Return the metrics of this budget."""
         return BodyMetrics(
-            held_bytes=lambda: self._lent,
-            peak_bytes=lambda: self.peak,
+            held_bytes=lambda: self._held_bytes,
+            peak_bytes=lambda: self.peak_bytes,
             refused=lambda: self.refused,
         )
 
-    def open(self, account: str) -> BodyLease:
-        """Begin a body of a client account."""
-        return BodyLease(self, account)
+    def make_reservation(self, account: str) -> BodyReservation:
+        """Return an empty reservation for a body of a client account."""
+        return BodyReservation(self, account)
 
-    def lend(self, account: str, held: int, more: int) -> Result[None, Fault]:
-        """Lend more bytes to a body that holds some; errors: ``BODIES_HELD``, nothing changes."""
+    def reserve(self, account: str, held: int, more: int) -> Result[None, Fault]:
+        """Add to the bytes that a body holds. Errors: ``BODIES_HELD``; nothing changes then."""
         is_large = held + more > SMALL_BYTES
-        grown = (more if held > SMALL_BYTES else held + more) if is_large else 0
-        if not self._fits(account, more, grown, is_first=self._large[account] <= held):
+        more_large = (more if held > SMALL_BYTES else held + more) if is_large else 0
+        if not self._fits(
+            account, more, more_large, is_first=self._large_by_account[account] <= held
+        ):
             self.refused += 1
-            return Err(self._refuse(account, held + more))
-        self._lent += more
-        self._lent_large += grown
-        self._large[account] += grown
-        self.peak = max(self.peak, self._lent)
+            return Err(self._refusal(account, held + more))
+        self._held_bytes += more
+        self._large_bytes += more_large
+        self._large_by_account[account] += more_large
+        self.peak_bytes = max(self.peak_bytes, self._held_bytes)
         return Ok(None)
 
-    def take_back(self, account: str, held: int) -> None:
-        """Take back what a body held."""
-        self._lent -= held
+    def release(self, account: str, held: int) -> None:
+        """Release all bytes that a body held."""
+        self._held_bytes -= held
         if held > SMALL_BYTES:
-            self._lent_large -= held
-            self._large[account] -= held
-        if not self._large[account]:
-            del self._large[account]
+            self._large_bytes -= held
+            self._large_by_account[account] -= held
+        if not self._large_by_account[account]:
+            del self._large_by_account[account]
 
-    def _fits(self, account: str, more: int, grown: int, *, is_first: bool) -> bool:
-        if self._lent + more > self._most:
+    def _fits(self, account: str, more: int, more_large: int, *, is_first: bool) -> bool:
+        if self._held_bytes + more > self._max_bytes:
             return False
-        if not grown:
+        if not more_large:
             return True
-        large = self._most * (1.0 - SMALL_PART)
-        if self._lent_large + grown > large:
+        large_limit = self._max_bytes * (1.0 - SMALL_FRACTION)
+        if self._large_bytes + more_large > large_limit:
             return False
-        return is_first or self._large[account] + grown <= ACCOUNT_PART * large
+        return (
+            is_first
+            or self._large_by_account[account] + more_large <= ACCOUNT_FRACTION * large_limit
+        )
 
-    def _refuse(self, account: str, size: int) -> Fault:
+    def _refusal(self, account: str, size: int) -> Fault:
         detail = (
-            f"a body of {size} bytes of the account {account!r} finds no room: {self._lent} of "
-            f"{self._most} bytes are held, {self._large[account]} by large bodies of the account"
+            f"no room for a body of {size} bytes of the account {account!r}: "
+            f"{self._held_bytes} of {self._max_bytes} bytes are held, "
+            f"{self._large_by_account[account]} by large bodies of the account"
         )
-        seconds = self._random.uniform(RETRY_LEAST, RETRY_MOST)
+        seconds = self._rng.uniform(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
         return Fault(code=ResultCode.BODIES_HELD, detail=detail, retry_after=seconds)
 
 
-class BodyLease:
-    """The bytes of one body; ended once, however often it is told."""
+class BodyReservation:
+    """Memory reserved for one body; ``release`` is idempotent."""
 
     def __init__(self, budget: BodyBudget, account: str) -> None:
         self._budget = budget
@@ -108,16 +114,16 @@
         self._held = 0
 
     def grow_to(self, size: int) -> Result[None, Fault]:
-        """Hold so many bytes in all, before they are read; errors: ``BODIES_HELD``."""
+        """Raise the reservation to ``size`` bytes in all. Errors: ``BODIES_HELD``."""
         if size <= self._held:
             return Ok(None)
-        lent = self._budget.lend(self._account, self._held, size - self._held)
-        if lent.is_ok():
+        reserved = self._budget.reserve(self._account, self._held, size - self._held)
+        if reserved.is_ok():
             self._held = size
-        return lent
+        return reserved
 
-    def end(self) -> None:
-        """Give all bytes back."""
+    def release(self) -> None:
+        """Release all bytes of the reservation."""
         held, self._held = self._held, 0
         if held:
-            self._budget.take_back(self._account, held)
+            self._budget.release(self._account, held)
--- a/packages/loomyard-router/src/loomyard_router/routed/body_metrics.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/body_metrics.py
@@ -1,4 +1,4 @@
-"""What operators see of request bodies that are held."""
+"""Metrics of the memory that request bodies take."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @frozen(kw_only=True)
 class BodyMetrics:
-    """Reads for metrics: bytes now and at the most, and bodies refused since the start."""
+    """Callables read at scrape time: bytes held now and at peak, and bodies refused so far."""
 
     held_bytes: Callable[[], int] = lambda: 0
     peak_bytes: Callable[[], int] = lambda: 0
--- a/packages/loomyard-router/src/loomyard_router/routed/connection_pool.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/connection_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to targets."""
+"""Pool of idle connections to targets."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     from loomyard_router.announced.target_incarnation import TargetIncarnation
 
 CONNECT_SECONDS = 0.4
-MOST_IDLE_SECONDS = 8.0
-# Closed this much before the target may do so itself.
-IDLE_MARGIN = 0.5
-# A connection that rested longer may be forgotten by the target, which a request that can't be
-# repeated must not find out.
+MAX_IDLE_SECONDS = 8.0
+# By so much an idle connection is closed before the keep-alive timeout that the target states.
+IDLE_MARGIN_SECONDS = 0.5
+# After a longer idle time the target may have dropped the connection. A request that can't be
+# retried would be lost on it.
 FRESH_SECONDS = 1.0
-MOST_KEPT = 16
+MAX_IDLE_PER_TARGET = 16
 _TIMEOUT = re.compile(r"timeout\s*=\s*(\d+)")
 
 
@@ -34,7 +34,7 @@
 
 
 class ConnectionPool:
-    """The idle connections of each target's life, the one used last first."""
+    """Idle connections by target incarnation; the most recently used one is reused first."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -43,24 +43,24 @@
         self.opened = 0
 
     def acquire(self, target: AnnouncedTarget, *, repeatable: bool) -> TargetConnection:
-        """Return a kept or a new connection. Errors: ``OSError``; nothing was sent then."""
+        """Return an idle or a new connection. Errors: ``OSError``; nothing was sent then."""
         now = self._clock.now()
         idle = self._idle.get(target.incarnation, [])
         while idle:
             kept = idle.pop()
-            young = now - kept.since <= FRESH_SECONDS
-            if now < kept.until and (repeatable or young) and kept.connection.quiet:
+            fresh = now - kept.since <= FRESH_SECONDS
+            if now < kept.until and (repeatable or fresh) and kept.connection.idle_and_open:
                 return kept.connection
             kept.connection.close()
         return self.open(target, CONNECT_SECONDS)
 
     def open(self, target: AnnouncedTarget, seconds: float) -> TargetConnection:
-        """Return a new connection within some seconds. Errors: ``OSError``."""
+        """Open a connection within ``seconds``. Errors: ``OSError``."""
         self.opened += 1
         return connect(target.address, self._clock, seconds, self._watch)
 
     def release(self, target: AnnouncedTarget, connection: TargetConnection) -> None:
-        """Keep a connection if it may be used again, and close it otherwise."""
+        """Keep a connection if it is reusable, and close it otherwise."""
         if connection.reusable:
             self._keep(target, connection, _idle_seconds(connection.headers))
         else:
@@ -68,10 +68,10 @@
 
     def release_unused(self, target: AnnouncedTarget, connection: TargetConnection) -> None:
         """Keep a connection on which nothing was sent."""
-        self._keep(target, connection, MOST_IDLE_SECONDS)
+        self._keep(target, connection, MAX_IDLE_SECONDS)
 
     def retain(self, known: set[TargetIncarnation]) -> None:
-        """Close what is kept to targets that are not known any more, and what is too old."""
+        """Close expired connections and those to incarnations other than the known ones."""
         now = self._clock.now()
         for life, idle in list(self._idle.items()):
             kept = [one for one in idle if life in known and now < one.until]
@@ -84,12 +84,12 @@
                 del self._idle[life]
 
     def _keep(self, target: AnnouncedTarget, connection: TargetConnection, seconds: float) -> None:
-        """Keep a connection for up to some seconds, if few are kept."""
+        """Keep a connection for up to ``seconds``, or close it where the target has enough."""
         idle = self._idle.setdefault(target.incarnation, [])
-        if len(idle) >= MOST_KEPT:
+        if len(idle) >= MAX_IDLE_PER_TARGET:
             connection.close()
             return
-        connection.rest()
+        connection.mark_idle()
         now = self._clock.now()
         idle.append(_Idle(connection, now, now + seconds))
 
@@ -98,5 +98,5 @@
     for name, value in headers:
         found = _TIMEOUT.search(value) if name.lower() == "keep-alive" else None
         if found:
-            return min(MOST_IDLE_SECONDS, int(found[1]) - IDLE_MARGIN)
-    return MOST_IDLE_SECONDS
+            return min(MAX_IDLE_SECONDS, int(found[1]) - IDLE_MARGIN_SECONDS)
+    return MAX_IDLE_SECONDS
--- a/packages/loomyard-router/src/loomyard_router/routed/deadline_watch.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/deadline_watch.py
@@ -1,4 +1,4 @@
-"""End exchanges at their deadlines."""
+"""Enforcement of the deadlines of exchanges with targets."""
 
 from __future__ import annotations
 
@@ -9,39 +9,39 @@
 if TYPE_CHECKING:
     from loomyard.clock import Clock
 
-# Seconds between looks while there are exchanges; callers are told of a deadline within half a
-# second. A timer for each read instead took 15 of the 80 microseconds that an event of a stream
-# takes a router (processor time of 300 answers of 36 events).
-LOOK_SECONDS = 0.05
+# Seconds between checks while there are exchanges; callers must learn of a passed deadline within
+# half a second. A timer for each read would cost 15 of the 80 microseconds of processor time that
+# a router spends on an event of a stream.
+CHECK_SECONDS = 0.05
 
 
-class Ending(Protocol):
-    """What ends at a deadline."""
+class Expirable(Protocol):
+    """Something that is closed when its deadline passes."""
 
     def expire(self) -> None:
-        """End, since the deadline has passed; must not wait."""
+        """Close, as the deadline has passed; must not block."""
 
 
 class DeadlineWatch:
-    """Look at all deadlines together, as long as there are any."""
+    """Check all deadlines in one task, which runs only while there are any."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._deadlines: dict[Ending, float] = {}
+        self._deadlines: dict[Expirable, float] = {}
         self._task: gevent.Greenlet | None = None
 
-    def begin(self, ending: Ending, deadline: float) -> None:
-        """Watch a deadline, in place of an earlier one."""
+    def set_deadline(self, ending: Expirable, deadline: float) -> None:
+        """Set a deadline, replacing an earlier one."""
         self._deadlines[ending] = deadline
         if self._task is None:
             self._task = gevent.spawn(self._run)
 
-    def end(self, ending: Ending) -> None:
-        """Watch no longer."""
+    def clear_deadline(self, ending: Expirable) -> None:
+        """Remove a deadline, as the exchange has ended."""
         self._deadlines.pop(ending, None)
 
-    def look(self) -> None:
-        """End what has passed its deadline."""
+    def check(self) -> None:
+        """Expire everything past its deadline."""
         now = self._clock.now()
         passed = [one for one, deadline in self._deadlines.items() if deadline <= now]
         for ending in passed:
@@ -50,6 +50,6 @@
 
     def _run(self) -> None:
         while self._deadlines:
-            self._clock.sleep(LOOK_SECONDS)
-            self.look()
+            self._clock.sleep(CHECK_SECONDS)
+            self.check()
         self._task = None
--- a/packages/loomyard-router/src/loomyard_router/routed/early_refusal.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/early_refusal.py
@@ -1,4 +1,4 @@
-"""Refuse by its first bytes what would be refused after it was read."""
+"""Refusal of requests by their first bytes, before they are decoded."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 
 logger = logging.getLogger(__name__)
 
-# One line tells of all that was refused in this time; one for each would cost as much again.
-TELL_SECONDS = 1.0
-MOST_ACCOUNTS_TOLD = 8
+# Seconds of refusals that one log line sums up; a line for each would double the cost of refusing.
+LOG_SECONDS = 1.0
+MAX_ACCOUNTS_LOGGED = 8
 HEAD_END = b"\r\n\r\n"
 LENGTH = re.compile(rb"\r\ncontent-length:[ \t]*(\d{1,18})[ \t]*\r\n", re.IGNORECASE)
 BODILESS = (b"GET ", b"HEAD ")
@@ -35,17 +35,17 @@
 
 @frozen
 class RefusedEarly:
-    """The answer to a request, and how many bytes the request has."""
+    """The refusal to send, and the size of the refused request in bytes."""
 
     answer: bytes
     size: int
 
 
 class EarlyRefusal:
-    """Judge the first request of a connection while that may spare the work of reading it.
+    """Check the first request of a connection, so that a refused one need not be decoded.
 
-    Reading a request into types costs most of a refusal, so a router that is behind, or one that
-    an account beyond its share sends hundreds of requests a second, would fall behind further.
+    Decoding is most of the cost of a refusal. It would make a lagging router lag further, also one
+    that gets hundreds of requests a second from an account over its share.
     """
 
     def __init__(
@@ -59,22 +59,22 @@
         meters: Meters,
     ) -> None:
         self._holder = holder
-        self._dialect = codec
-        self._waiting = backlog
+        self._codec = codec
+        self._backlog = backlog
         self._overloaded = overloaded
-        self._hint = retry_hint
+        self._retry_hint = retry_hint
         self._meters = meters
         self._counts: Counter[str] = Counter()
-        self._late = 0
-        self._first = ""
+        self._overload_count = 0
+        self._first_attempt_id = ""
 
     @property
-    def watching(self) -> bool:
-        """Tell whether a request could be refused so now."""
-        return self._waiting.any_near_limit or self._overloaded()
+    def enabled(self) -> bool:
+        """Tell whether any request could be refused early now."""
+        return self._backlog.any_near_limit or self._overloaded()
 
-    def judge(self, first: bytes) -> RefusedEarly | None:
-        """Return the answer to a request that began with some bytes, ``None`` to read it whole."""
+    def check(self, first: bytes) -> RefusedEarly | None:
+        """Return the refusal of the request that begins with ``first``, ``None`` to decode it."""
         end = first.find(HEAD_END)
         if end < 0:
             return None
@@ -86,7 +86,7 @@
         if fault is None:
             return None
         self._meters.count(fault.code)
-        status, headers = self._dialect.encode_refusal(fault)
+        status, headers = self._codec.encode_refusal(fault)
         lines = [f"{name}: {value}\r\n" for name, value in headers]
         answer = (
             f"HTTP/1.1 {status_line(status)}\r\n{''.join(lines)}"
@@ -98,33 +98,37 @@
         table = self._holder.table
         if table is None:
             return None
-        glance = self._dialect.preview_head(head)
-        account = table.authenticate(glance.key) if glance.key else None
+        preview = self._codec.preview_head(head)
+        account = table.authenticate(preview.key) if preview.key else None
         name = "" if account is None else account.name
         if self._overloaded():
-            fault = self._hint.make_refusal(ResultCode.ROUTER_OVERLOADED, "this router is behind")
-        elif name and glance.has_prompt and self._waiting.is_full(name):
-            fault = self._hint.make_refusal(ResultCode.QUEUE_FULL, "too many requests wait here")
+            fault = self._retry_hint.make_refusal(
+                ResultCode.ROUTER_OVERLOADED, "the event loop lags"
+            )
+        elif name and preview.has_prompt and self._backlog.is_full(name):
+            fault = self._retry_hint.make_refusal(
+                ResultCode.QUEUE_FULL, "too many of the account's requests wait"
+            )
         else:
             return None
-        self._note(fault, name, glance.attempt_id)
+        self._record(fault, name, preview.attempt_id)
         return fault
 
-    def _note(self, fault: Fault, account: str, attempt_id: str) -> None:
+    def _record(self, fault: Fault, account: str, attempt_id: str) -> None:
         if not self._counts:
-            self._first = attempt_id
-            gevent.spawn_later(TELL_SECONDS, self._tell)
+            self._first_attempt_id = attempt_id
+            gevent.spawn_later(LOG_SECONDS, self._write_log)
         self._counts[account] += 1
-        self._late += fault.code is ResultCode.ROUTER_OVERLOADED
+        self._overload_count += fault.code is ResultCode.ROUTER_OVERLOADED
 
-    def _tell(self) -> None:
+    def _write_log(self) -> None:
         counts, self._counts = self._counts, Counter()
-        late, self._late = self._late, 0
+        overload_count, self._overload_count = self._overload_count, 0
         emit(
             logger,
             Event.REFUSED_EARLY,
             requests=counts.total(),
-            behind=late,
-            accounts=dict(counts.most_common(MOST_ACCOUNTS_TOLD)),
-            first=self._first,
+            behind=overload_count,
+            accounts=dict(counts.most_common(MAX_ACCOUNTS_LOGGED)),
+            first=self._first_attempt_id,
         )
--- a/packages/loomyard-router/src/loomyard_router/routed/event_coalescer.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/event_coalescer.py
@@ -1,4 +1,4 @@
-"""How soon a router that is behind turns to a stream again."""
+"""Coalescing of the events of streams while the router lags."""
 
 from __future__ import annotations
 
@@ -8,27 +8,28 @@
 
 from loomyard.clock import Clock
 
-# Ready tasks that wait for longer wait for each other: then each turn spared serves all.
-BEHIND_SECONDS = 0.015
-# The part of the time that an event may take from its target to its caller; as much again is left
-# for the queue of ready tasks, and a pause between two events stays under what users allow.
-HELD_PART = 0.4
+# Seconds of event-loop lag from which on tasks delay each other, so that each wake-up saved helps
+# all of them.
+LAG_THRESHOLD_SECONDS = 0.015
+# Fraction of ``max_delay`` for which a read is delayed. As much again is left for the queue of
+# ready tasks, and the gap between two events stays below what users allow.
+DELAY_FRACTION = 0.4
 
 
 @frozen(kw_only=True)
 class EventCoalescer:
-    """Let events that come meanwhile travel with the next one, while the router is behind.
+    """Delay reads of streams while the router lags, so that several events are relayed at once.
 
-    Events come every 35 ms and each wakes a task, is parsed and written, for 80 microseconds; a
-    third of what a router under load does. ``most`` is the time that users allow an event from its
-    target to its caller, in seconds; with 0 nothing is held.
+    Events come every 35 ms. Waking a task, parsing and writing takes 80 microseconds for each, a
+    third of the work of a router under load. ``max_delay`` is the time in seconds that users allow
+    an event between its target and its caller; with 0 no read is delayed.
     """
 
     clock: Clock
     max_delay: float
     lag: Callable[[], float]
 
-    def hold(self) -> None:
-        """Wait before the next read of a stream, if this router is behind."""
-        if self.max_delay and self.lag() > BEHIND_SECONDS:
-            self.clock.sleep(HELD_PART * self.max_delay)
+    def delay_read(self) -> None:
+        """Wait before the next read of a stream if this router lags."""
+        if self.max_delay and self.lag() > LAG_THRESHOLD_SECONDS:
+            self.clock.sleep(DELAY_FRACTION * self.max_delay)
--- a/packages/loomyard-router/src/loomyard_router/routed/fingerprint.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/fingerprint.py
@@ -1,4 +1,4 @@
-"""By what a request is known that comes again under another id."""
+"""Fingerprint by which a request is recognized when it is repeated under another id."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     """Return a digest in hex, equal for the same request of the same client account."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (method, host, path, account):
-        # Lengths keep parts apart, so that no two requests read as one.
+        # The length prefix delimits the part, so that different requests never hash alike.
         digest.update(f"{len(part)}:{part}".encode())
     digest.update(body)
     return digest.hexdigest()
--- a/packages/loomyard-router/src/loomyard_router/routed/forwarder.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/forwarder.py
@@ -1,4 +1,4 @@
-"""Serve a request on a route: a place, one target or several, one answer."""
+"""Forwarding of a request on a route: slot, attempts at targets, one answer."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from loomyard_router.requests.answer import Answer
 from loomyard_router.requests.answer_check import EVENT_STREAM_TYPE
 from loomyard_router.requests.body import Body
-from loomyard_router.routed.stream_passing import StreamPassing
-from loomyard_router.routed.target_connection import ExchangeBrokenError, ExchangeLateError
-from loomyard_router.routed.unread_answers import PassedAnswer, UnreadAnswers
+from loomyard_router.routed.answer_relay import AnswerRelay
+from loomyard_router.routed.target_connection import ExchangeBrokenError, ExchangeTimeoutError
+from loomyard_router.routed.unread_answers import BufferedAnswer, UnreadAnswers
 
 if TYPE_CHECKING:
     import gevent
@@ -34,13 +34,13 @@
 
 logger = logging.getLogger(__name__)
 
-HELD_BYTES = 1 << 20
+MAX_BUFFERED_BYTES = 1 << 20
 RETRY_AFTER = 0.5
-# A target that could not be reached was sent nothing and counts for no attempt.
-MOST_UNREACHED = 3
-_FAULTS_OF_TARGET = (
+# Connects that may fail for a request; nothing was sent, so they do not count as attempts.
+MAX_UNREACHABLE = 3
+_TARGET_FAILURES = (
     ResultCode.TARGET_UNREACHABLE,
-    # Who turns requests away at once has the fewest running and draws them, unless it counts.
+    # A target that refuses at once has the fewest requests running and would attract more.
     ResultCode.TARGET_REFUSED,
     ResultCode.ANSWER_LOST,
     ResultCode.ANSWER_INVALID,
@@ -49,15 +49,15 @@
 )
 
 
-# What a target that ends does to all that runs there.
-_BREAKS = (ResultCode.ANSWER_LOST, ResultCode.ANSWER_INCOMPLETE)
+# Faults that a crash of the target causes to all requests that run there.
+_CRASH_SYMPTOMS = (ResultCode.ANSWER_LOST, ResultCode.ANSWER_INCOMPLETE)
 
-# Nothing was sent.
-_UNREACHED = (ResultCode.TARGET_UNREACHABLE, ResultCode.ROUTER_OVERLOADED)
+# Faults before anything was sent.
+_NOT_SENT = (ResultCode.TARGET_UNREACHABLE, ResultCode.ROUTER_OVERLOADED)
 
 
 class Forwarder:
-    """Send a request until it has an answer or must not be sent again."""
+    """Send a request to targets until it has an answer or may not be retried."""
 
     def __init__(
         self,
@@ -78,128 +78,129 @@
         self._health = health
         self._registry = registry
         self._guard = guard
-        self._budget = retry_budget
-        self._pace = coalescer
-        self._unread = unread_answers
+        self._retry_budget = retry_budget
+        self._coalescer = coalescer
+        self._unread_answers = unread_answers
 
     def forward(self, request: RoutedRequest) -> Result[Answer, Fault]:
-        """Serve a request.
+        """Return the answer to a request; a long body or a stream is relayed as it is read.
 
-        Errors: those of ``Gate.take`` and ``Sender.send``; ``executed`` tells whether it may have
-        run at any target.
+        Errors: those of ``AdmissionGate.acquire`` and ``AttemptSender.send``; ``executed`` tells
+        whether it may have run at any target.
         """
-        self._budget.deposit(request.service)
+        self._retry_budget.deposit(request.service)
         opened = self.open(request, avoided=frozenset(), last_event=request.head.last_event)
         if opened.is_err():
             return Err(opened.unwrap_err())
-        exchange, first, whole = opened.unwrap()
-        if whole:
+        exchange, first, complete = opened.unwrap()
+        if complete:
             self.close(request, exchange)
             return Ok(Answer(status=exchange.status, headers=exchange.headers, body=[first]))
-        return Ok(self._pass_on(request, exchange, first))
+        return Ok(self._relay(request, exchange, first))
 
     def open(
         self, request: RoutedRequest, *, avoided: frozenset[TargetIncarnation], last_event: str
     ) -> Result[tuple[Exchange, bytes, bool], Fault]:
-        """Send until an answer has begun; return it, its first bytes and whether those are all."""
+        """Send until an answer has begun; return it, its first bytes and whether they are all."""
         executed = Executed.NO
-        attempts = unreached = 0
+        attempts = unreachable = 0
         while True:
             blocked = self._guard.check(request)
             if blocked is not None:
                 return Err(evolve(blocked, executed=executed) if attempts else blocked)
-            taken = self._gate.acquire(request, avoided)
-            if taken.is_err():
-                fault = taken.unwrap_err()
+            acquired = self._gate.acquire(request, avoided)
+            if acquired.is_err():
+                fault = acquired.unwrap_err()
                 return Err(evolve(fault, executed=executed) if attempts else fault)
-            place = taken.unwrap()
+            permit = acquired.unwrap()
             if not request.presence.check():
-                place.return_unused()
+                permit.return_unused()
                 fault = Fault(code=ResultCode.CALLER_GONE, detail="the caller left")
                 return Err(evolve(fault, executed=executed))
-            if not self._registry.is_usable(place.target):
-                # It began to leave, or asked for rest, while this request waited for the place or
-                # for its turn.
-                place.return_unused()
-                avoided = avoided | {place.target.incarnation}
+            if not self._registry.is_usable(permit.target):
+                # The target began to leave, or asked for back-off, while this request waited for
+                # the slot or this task for its turn.
+                permit.return_unused()
+                avoided = avoided | {permit.target.incarnation}
                 continue
             if self._guard.check(request) is not None:
-                # Another router learned of it while this request waited for its place.
-                place.return_unused()
+                # While this request waited for its slot, another router reported that it crashes
+                # targets.
+                permit.return_unused()
                 continue
-            request.trace.place(place, self._clock.now())
-            outcome = self._attempt(request, place, last_event)
+            request.trace.record_slot(permit, self._clock.now())
+            outcome = self._attempt(request, permit, last_event)
             if outcome.is_ok():
-                exchange, first, whole = outcome.unwrap()
+                exchange, first, complete = outcome.unwrap()
                 attempts += 1
-                if not (exchange.failed and self._may_repeat(request, attempts)):
-                    return Ok((exchange, first, whole))
+                if not (exchange.failed and self._may_retry_answered(request, attempts)):
+                    return Ok((exchange, first, complete))
                 self._health.record_failure(
-                    place.target, f"status {exchange.status}", unreachable=False
+                    permit.target, f"status {exchange.status}", unreachable=False
                 )
                 self.close(request, exchange)
                 executed = Executed.YES
             else:
                 fault = outcome.unwrap_err()
                 if fault.executed is Executed.NO:
-                    # Else an account whose requests are turned away would seem to be served.
-                    place.return_unused()
+                    # Otherwise refused requests would count as usage of the account.
+                    permit.return_unused()
                 else:
-                    place.release()
-                checking = self._note(request, place, fault)
-                if fault.code in _UNREACHED:
-                    unreached += 1
+                    permit.release()
+                crash_check = self._record_failure(request, permit, fault)
+                if fault.code in _NOT_SENT:
+                    unreachable += 1
                 else:
                     attempts += 1
                 if fault.executed is not Executed.NO:
                     executed = fault.executed
-                if not self._may_go_on(request, fault, executed, attempts, unreached):
-                    return Err(self._final(fault, executed))
-                if checking is not None:
-                    # The next send must know what this one did.
-                    checking.join()
-            avoided = avoided | {place.target.incarnation}
+                if not self._may_retry(request, fault, executed, attempts, unreachable):
+                    return Err(self._final_fault(fault, executed))
+                if crash_check is not None:
+                    # The guard must know whether the target crashed before the next attempt.
+                    crash_check.join()
+            avoided = avoided | {permit.target.incarnation}
             if attempts:
-                self._budget.take(request.service)
+                self._retry_budget.take(request.service)
 
     def close(self, request: RoutedRequest, exchange: Exchange) -> None:
-        """End an exchange, whole or not."""
-        exchange.place.release()
+        """Release the slot and the connection of an exchange, complete or not."""
+        exchange.permit.release()
         self._sender.finish(request, exchange)
 
     def reopen(
         self, request: RoutedRequest, broken: SlotPermit, *, last_event: str
     ) -> Result[tuple[Exchange, bytes, bool], Fault]:
-        """Go on with a broken stream at another target, if the budget allows."""
-        if not self._budget.has(request.service):
-            detail = "the budget for retries is spent"
+        """Resume a broken stream at another target, if the retry budget allows."""
+        if not self._retry_budget.has(request.service):
+            detail = "the retry budget is spent"
             return Err(Fault(code=ResultCode.RETRY_BUDGET_SPENT, detail=detail))
-        self._budget.take(request.service)
+        self._retry_budget.take(request.service)
         return self.open(
             request, avoided=frozenset([broken.target.incarnation]), last_event=last_event
         )
 
-    def note_broken(self, request: RoutedRequest, place: SlotPermit, detail: str) -> None:
-        """Take in that a target broke an answer off, and find out whether it ended."""
+    def record_broken(self, request: RoutedRequest, permit: SlotPermit, detail: str) -> None:
+        """Record that a target broke off an answer, and wait for the check whether it crashed."""
         code = ResultCode.ANSWER_INCOMPLETE
         fault = Fault(code=code, detail=detail, executed=Executed.UNKNOWN)
-        checking = self._note(request, place, fault)
-        if checking is not None:
-            checking.join()
+        crash_check = self._record_failure(request, permit, fault)
+        if crash_check is not None:
+            crash_check.join()
 
-    def note_cut(self, request: RoutedRequest, place: SlotPermit) -> None:
-        """Take in that a target broke off an answer that does not go on elsewhere."""
-        self._guard.investigate_failure(request, place.target)
+    def record_abort(self, request: RoutedRequest, permit: SlotPermit) -> None:
+        """Record that a target broke off an answer that is not resumed elsewhere."""
+        self._guard.investigate_failure(request, permit.target)
 
-    def note_whole(self, request: RoutedRequest) -> None:
-        """Take in that an answer came to its end."""
+    def record_completion(self, request: RoutedRequest) -> None:
+        """Record that a target answered a request to the end."""
         self._guard.record_completion(request)
 
     def _attempt(
-        self, request: RoutedRequest, place: SlotPermit, last_event: str
+        self, request: RoutedRequest, permit: SlotPermit, last_event: str
     ) -> Result[tuple[Exchange, bytes, bool], Fault]:
         self._guard.record_attempt(request)
-        sent = self._sender.send(request, place, last_event=last_event, answer_by=request.deadline)
+        sent = self._sender.send(request, permit, last_event=last_event, answer_by=request.deadline)
         if sent.is_err():
             return Err(sent.unwrap_err())
         exchange = sent.unwrap()
@@ -207,26 +208,26 @@
             if _is_stream(exchange):
                 first = exchange.connection.read_block(request.deadline)
                 request.first_event_at = self._clock.now()
-                request.trace.answer(request.first_event_at)
-                place.record_answer_start()
-                self._health.record_success(place.target)
-                self._guard.record_response(place.target)
+                request.trace.record_answer_start(request.first_event_at)
+                permit.record_answer_start()
+                self._health.record_success(permit.target)
+                self._guard.record_response(permit.target)
                 return Ok((exchange, first, False))
-            first, whole = self._hold(request, exchange)
+            first, complete = self._read_buffered(request, exchange)
         except ExchangeBrokenError as error:
             self._sender.finish(request, exchange)
-            return Err(_broken(request, error))
-        self._guard.record_response(place.target)
+            return Err(_broken_fault(request, error))
+        self._guard.record_response(permit.target)
         if not exchange.failed:
-            self._health.record_success(place.target)
-        if whole:
+            self._health.record_success(permit.target)
+        if complete:
             self._guard.record_completion(request)
-        return Ok((exchange, first, whole))
+        return Ok((exchange, first, complete))
 
-    def _hold(self, request: RoutedRequest, exchange: Exchange) -> tuple[bytes, bool]:
+    def _read_buffered(self, request: RoutedRequest, exchange: Exchange) -> tuple[bytes, bool]:
         blocks: list[bytes] = []
         size = 0
-        while size <= HELD_BYTES:
+        while size <= MAX_BUFFERED_BYTES:
             block = exchange.connection.read_block(request.deadline)
             if not block:
                 return b"".join(blocks), True
@@ -234,81 +235,81 @@
             size += len(block)
         return b"".join(blocks), False
 
-    def _pass_on(self, request: RoutedRequest, exchange: Exchange, first: bytes) -> Answer:
-        passing = StreamPassing(self, request, exchange, self._pace)
-        blocks = passing.events(first) if _is_stream(exchange) else passing.blocks(first)
-        passed = PassedAnswer(
+    def _relay(self, request: RoutedRequest, exchange: Exchange, first: bytes) -> Answer:
+        relay = AnswerRelay(self, request, exchange, self._coalescer)
+        blocks = relay.events(first) if _is_stream(exchange) else relay.blocks(first)
+        answer = BufferedAnswer(
             blocks,
             request_id=request.head.attempt_id,
             account=request.account_name,
-            unread=self._unread,
-            ended=passing.end_unread,
+            unread=self._unread_answers,
+            ended=relay.finish_unread,
         )
         return Answer(
             status=exchange.status,
             headers=exchange.headers,
-            body=Body(passed.blocks(), passing.close),
+            body=Body(answer.blocks(), relay.close),
         )
 
-    def _may_go_on(
+    def _may_retry(
         self,
         request: RoutedRequest,
         fault: Fault,
         executed: Executed,
         attempts: int,
-        unreached: int,
+        unreachable: int,
     ) -> bool:
         if fault.code is ResultCode.CALLER_GONE or request.presence.gone:
             return False
         if executed is not Executed.NO and not request.route.repeatable:
             return False
         if not attempts:
-            return unreached < MOST_UNREACHED and self._clock.now() < request.deadline
+            return unreachable < MAX_UNREACHABLE and self._clock.now() < request.deadline
         return self._has_attempts(request, attempts)
 
-    def _may_repeat(self, request: RoutedRequest, attempts: int) -> bool:
+    def _may_retry_answered(self, request: RoutedRequest, attempts: int) -> bool:
         return request.route.repeatable and self._has_attempts(request, attempts)
 
     def _has_attempts(self, request: RoutedRequest, attempts: int) -> bool:
         return (
             attempts < request.route.max_attempts
             and self._clock.now() < request.deadline
-            and self._budget.has(request.service)
+            and self._retry_budget.has(request.service)
         )
 
-    def _final(self, fault: Fault, executed: Executed) -> Fault:
+    def _final_fault(self, fault: Fault, executed: Executed) -> Fault:
         if executed is Executed.NO:
             return evolve(fault, retry_after=fault.retry_after or RETRY_AFTER)
         return evolve(fault, executed=executed)
 
-    def _note(
-        self, request: RoutedRequest, place: SlotPermit, fault: Fault
+    def _record_failure(
+        self, request: RoutedRequest, permit: SlotPermit, fault: Fault
     ) -> gevent.Greenlet | None:
-        """Take in a failed attempt; return what finds out whether its target ended, if it may."""
-        if fault.code in _FAULTS_OF_TARGET:
+        """Record and log a failed attempt; return the running check for a crash, if any."""
+        if fault.code in _TARGET_FAILURES:
             unreachable = fault.code is ResultCode.TARGET_UNREACHABLE
-            self._health.record_failure(place.target, fault.detail, unreachable=unreachable)
-        more: dict[str, object] = {}
+            self._health.record_failure(permit.target, fault.detail, unreachable=unreachable)
+        extra: dict[str, object] = {}
         if fault.code is ResultCode.TARGET_REFUSED:
-            # A target refuses for want of a place, or for a header that it can't honour.
-            more = {
-                "taken": place.taken,
+            # A target refuses for lack of a slot, or because of a header that it can't honour.
+            extra = {
+                "taken": permit.taken,
                 "sent": [name for name, _ in request.head.forwarded_headers],
             }
         emit(
             logger,
             Event.ATTEMPT_FAILED,
             request=request.head.attempt_id,
-            target=place.target.id,
+            target=permit.target.id,
             code=int(fault.code),
             executed=fault.executed.value,
             detail=fault.detail,
             fingerprint=request.fingerprint,
-            **more,
+            **extra,
         )
-        if fault.code not in _BREAKS:
+        if fault.code not in _CRASH_SYMPTOMS:
             return None
-        return self._guard.investigate_failure(request, place.target)
+        return self._guard.investigate_failure(request, permit.target)
 
 
 def _is_stream(exchange: Exchange) -> bool:
@@ -318,10 +319,10 @@
     return kind.startswith(EVENT_STREAM_TYPE)
 
 
-def _broken(request: RoutedRequest, error: ExchangeBrokenError) -> Fault:
+def _broken_fault(request: RoutedRequest, error: ExchangeBrokenError) -> Fault:
     if request.presence.gone:
         code = ResultCode.CALLER_GONE
-    elif isinstance(error, ExchangeLateError):
+    elif isinstance(error, ExchangeTimeoutError):
         code = ResultCode.ANSWER_LATE
     else:
         code = ResultCode.ANSWER_INCOMPLETE
--- a/packages/loomyard-router/src/loomyard_router/routed/http_codecs.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/http_codecs.py
@@ -1,4 +1,4 @@
-"""What an adapter must do to speak with callers and targets in their own way."""
+"""Protocols of the codecs by which a platform adapter decodes and encodes HTTP heads."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @frozen(kw_only=True)
 class HeadPreview:
-    """What the bytes of a head tell; a request that is ``prompted`` is meant for an engine."""
+    """Fields of a head that was not decoded; only requests to engines have a prompt."""
 
     attempt_id: str
     key: str
@@ -27,11 +27,11 @@
 
 
 class CallerCodec(Protocol):
-    """Read heads of callers and word refusals."""
+    """Decode the heads of callers' requests and encode refusals."""
 
     @property
     def id_header(self) -> str:
-        """Return the header that names a request, for logs."""
+        """Return the name of the header with the request id, for logs."""
 
     def decode_request_head(
         self, headers: list[tuple[str, str]], now: float
@@ -39,17 +39,18 @@
         """Decode the headers of a request. Errors: ``MALFORMED_REQUEST``."""
 
     def preview_head(self, head: bytes) -> HeadPreview:
-        """Find in a head what decides whether it is worth decoding."""
+        """Search a head for the fields on which an early refusal depends, without decoding it."""
 
     def encode_refusal(self, fault: Fault) -> tuple[int, list[tuple[str, str]]]:
-        """Return status and headers of a final answer that is no target's."""
+        """Return status and headers of an answer that the router itself gives."""
 
 
 @frozen(kw_only=True)
 class AnswerHead:
-    """What a target's head says: for which attempt it is, that it ran nothing, and of itself.
+    """Decoded head of a target's answer to an attempt.
 
-    ``vouched`` is false for a success that lacks the mark by which callers know a target's answer.
+    ``not_executed`` tells that the target ran nothing; ``authentic`` is false for a success without
+    the stamp by which callers recognize a target's answer.
     """
 
     attempt_id: str
@@ -60,9 +61,10 @@
 
 @frozen(kw_only=True)
 class HealthAnswer:
-    """What the answer to a question for health says: who lives there, and of itself.
+    """Decoded head of the answer to a health check.
 
-    ``lives`` is empty for an error of what stands in front, ``None`` where it tells nothing.
+    ``instance_id`` is the id of the target that runs at the address, empty for an error of a proxy
+    in front of it, ``None`` where the answer names none.
     """
 
     instance_id: str | None
@@ -70,18 +72,18 @@
 
 
 class TargetCodec(Protocol):
-    """Word requests to targets and read the heads of their answers."""
+    """Encode the heads of requests to targets and decode those of their answers."""
 
     def encode_request_head(
         self, request: RoutedRequest, target: AnnouncedTarget, *, milliseconds: int, last_event: str
     ) -> bytes:
-        """Return the head with its empty line; ``milliseconds`` is what the target may take."""
+        """Return the head with its empty line; ``milliseconds`` is the time the target has left."""
 
     def decode_answer_head(self, status: int, headers: list[tuple[str, str]]) -> AnswerHead:
-        """Read what the head of an answer says."""
+        """Decode the head of an answer to an attempt."""
 
     def encode_health_check(self, path: str, target: AnnouncedTarget) -> bytes:
-        """Return the head of a question who lives at a target's address."""
+        """Return the head of a health check, which asks which target runs at an address."""
 
     def decode_health_answer(self, status: int, headers: list[tuple[str, str]]) -> HealthAnswer:
-        """Read what the head of the answer to that question says."""
+        """Decode the head of the answer to a health check."""
--- a/packages/loomyard-router/src/loomyard_router/routed/listener.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/listener.py
@@ -1,4 +1,4 @@
-"""The listener for callers on routes."""
+"""Listener for callers on routes."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 PEEK_BYTES = 65536
-# A caller whose request was refused has sent most of it by then.
+# For so long the rest of a refused request is read and dropped; most callers have sent it by then.
 DISCARD_SECONDS = 1.0
 
 
 class RoutedHandler(CallerHandler):
-    """Keep idle connections as long as the configuration says, and close them at a stop."""
+    """Serve one connection, within the configured limits on idle time and on reading a head."""
 
     server: RoutedListener
     _first = True
@@ -32,28 +32,28 @@
     def read_requestline(self) -> str:
         self.socket.settimeout(self.server.limits().idle_seconds)
         task = gevent.getcurrent()
-        self.server.idle[task] = None
+        self.server.idle_tasks[task] = None
         first, self._first = self._first, False
         try:
-            if first and self.server.early.watching and self._refuse_early():
+            if first and self.server.early_refusal.enabled and self._refuse_early():
                 return ""
             return super().read_requestline()
         finally:
-            self.server.idle.pop(task, None)
+            self.server.idle_tasks.pop(task, None)
             if self.socket is not None:
                 self.socket.settimeout(CONNECTION_TIMEOUT)
 
     def _refuse_early(self) -> bool:
-        """Answer a request by its first bytes where that is all it needs."""
-        refused = self.server.early.judge(self.socket.recv(PEEK_BYTES, sockets.MSG_PEEK))
+        """Send a refusal that the first bytes of a request decide; tell whether there was one."""
+        refused = self.server.early_refusal.check(self.socket.recv(PEEK_BYTES, sockets.MSG_PEEK))
         if refused is None:
             return False
         self.socket.sendall(refused.answer)
-        # A close before all was read would destroy the answer on its way.
-        left = refused.size
+        # A close with unread data resets the connection, which can destroy the answer in flight.
+        remaining = refused.size
         self.socket.settimeout(DISCARD_SECONDS)
-        while left > 0 and (data := self.socket.recv(min(left, PEEK_BYTES))):
-            left -= len(data)
+        while remaining > 0 and (data := self.socket.recv(min(remaining, PEEK_BYTES))):
+            remaining -= len(data)
         return True
 
     def read_request(self, raw_requestline: str) -> bool:
@@ -67,10 +67,10 @@
 
 
 class RoutedListener(CallerServer):
-    """Accept callers; ``limits`` are read for each request.
+    """Accept connections of callers; ``limits`` is called for each request.
 
-    Where more than ``most_connections`` are open, answers close theirs and the idle ones that
-    rested longest are closed.
+    While more than ``max_connections`` are open, answers close theirs, and each new connection
+    closes the one that has been idle longest.
     """
 
     handler_class = RoutedHandler
@@ -85,41 +85,41 @@
     ) -> None:
         super().__init__(*arguments, **options)
         self.limits = limits
-        self.early = early_refusal
-        # In the order in which they began to rest.
-        self.idle: dict[gevent.Greenlet, None] = {}
-        self._open = 0
-        self._most_connections = max_connections
+        self.early_refusal = early_refusal
+        # Tasks of idle connections, the longest idle first.
+        self.idle_tasks: dict[gevent.Greenlet, None] = {}
+        self._open_count = 0
+        self._max_connections = max_connections
 
     @property
     def over_connection_limit(self) -> bool:
-        return self._open > self._most_connections
+        return self._open_count > self._max_connections
 
     def handle(self, sock: Any, address: Any) -> None:
-        self._open += 1
+        self._open_count += 1
         if self.over_connection_limit:
-            self._close_oldest()
+            self._close_longest_idle()
         try:
             super().handle(sock, address)
         finally:
-            self._open -= 1
+            self._open_count -= 1
 
     def close_listener(self) -> None:
         """Close the listener; open connections go on."""
         self.close()
 
     def close_idle(self) -> None:
-        """Close connections on which no request is on its way."""
-        for task in list(self.idle):
-            _end(task)
+        """Close the connections on which no request is in progress."""
+        for task in list(self.idle_tasks):
+            _kill_idle(task)
 
-    def _close_oldest(self) -> None:
-        oldest = next(iter(self.idle), None)
+    def _close_longest_idle(self) -> None:
+        oldest = next(iter(self.idle_tasks), None)
         if oldest is not None:
-            self.idle.pop(oldest)
-            _end(oldest)
+            self.idle_tasks.pop(oldest)
+            _kill_idle(oldest)
 
 
-def _end(task: gevent.Greenlet) -> None:
-    # Closing the socket from here would leave it open for as long as the task reads it.
-    task.kill(OSError("the connection is given up"), block=False)
+def _kill_idle(task: gevent.Greenlet) -> None:
+    # Closing the socket here would leave it open until the task has finished reading from it.
+    task.kill(OSError("closing an idle connection"), block=False)
--- a/packages/loomyard-router/src/loomyard_router/routed/reported_body.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/reported_body.py
@@ -1,4 +1,4 @@
-"""A body whose end is told."""
+"""Response body with a callback at its end."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ReportedBody:
-    """Blocks of a body; call back once when they were passed on, or given up."""
+    """Blocks of a body; ``close`` calls ``ended`` once, whether all blocks were sent or not."""
 
     def __init__(self, body: Iterable[bytes], ended: Callable[[], None]) -> None:
         self._body = body
@@ -19,7 +19,7 @@
         return iter(self._body)
 
     def close(self) -> None:
-        """End the body."""
+        """Close the wrapped body too."""
         if close := getattr(self._body, "close", None):
             close()
         ended, self._ended = self._ended, None
--- a/packages/loomyard-router/src/loomyard_router/routed/request_head.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/request_head.py
@@ -1,4 +1,4 @@
-"""What a caller says of its request besides method, path and body."""
+"""Decoded headers of a caller's request."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @frozen
 class PromptPart:
-    """A part of a prompt by which engines keep it, and its size in tokens."""
+    """A part of a prompt under the id by which engines cache it, and its size in tokens."""
 
     id: str
     tokens: int
@@ -15,10 +15,10 @@
 
 @frozen(kw_only=True)
 class RequestHead:
-    """A head as decoded from the caller's headers.
+    """Decoded headers of a request.
 
-    ``deadline`` is monotonic; ``passed`` are the headers that the target gets, in their order;
-    ``last_event`` is the id after which a stream goes on.
+    ``deadline`` is in seconds of the monotonic clock; ``forwarded_headers`` go to the target in
+    this order; ``last_event`` is the id of the event after which a stream is resumed.
     """
 
     attempt_id: str
--- a/packages/loomyard-router/src/loomyard_router/routed/request_trace.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/request_trace.py
@@ -1,4 +1,4 @@
-"""What was decided for a request and what it was decided on, for the one line in the log."""
+"""Decisions on a request and the values behind them, for its log line."""
 
 from __future__ import annotations
 
@@ -12,36 +12,36 @@
 
 @define(eq=False)
 class RequestTrace:
-    """Times are monotonic; ``taken`` is the number of places in use as the keeper said it.
+    """Values of the log line; times are in seconds of the monotonic clock.
 
-    ``choice`` is the rank of the target among those for the prompt, 0 for the preferred one.
-    ``share_used`` is what the account got lately in the fleet in parts of its share, ``None``
-    where no share is known. ``objection`` is why the keeper asked last gave no place, ``expected``
-    in how many seconds the other one expected the first event. ``broken`` says why an answer that
-    had begun was broken off.
+    ``slots_in_use`` is the count at the target that the slot owner reported. ``target_rank`` is the
+    rank of the target among those for the prompt, 0 for the preferred one. ``share_used`` is the
+    recent usage of the account in the fleet divided by its share, ``None`` where no share is known.
+    ``refusal_reason`` is that of the last slot owner that refused, ``expected_ttft`` the time to
+    first token in seconds predicted by the one that granted. ``broken`` is why an answer broke off.
     """
 
     target: str = ""
     attempts: int = 0
-    taken: int = -1
-    choice: int = -1
+    slots_in_use: int = -1
+    target_rank: int = -1
     share_used: float | None = None
     broken: str = ""
     refusal_reason: str = ""
-    expected: float = 0.0
-    placed_at: float | None = None
-    first_at: float | None = None
-
-    def place(self, place: SlotPermit, now: float) -> None:
-        """Take in that a place was given."""
-        self.target = place.target.id
-        self.taken = place.taken
-        self.choice = place.choice
-        self.expected = place.expected
-        self.placed_at = now
+    expected_ttft: float = 0.0
+    slot_at: float | None = None
+    answer_started_at: float | None = None
+
+    def record_slot(self, permit: SlotPermit, now: float) -> None:
+        """Record that a slot was granted for the next attempt."""
+        self.target = permit.target.id
+        self.slots_in_use = permit.taken
+        self.target_rank = permit.choice
+        self.expected_ttft = permit.expected
+        self.slot_at = now
         self.attempts += 1
 
-    def answer(self, now: float) -> None:
-        """Take in that the answer began."""
-        if self.first_at is None:
-            self.first_at = now
+    def record_answer_start(self, now: float) -> None:
+        """Record when the first answer began."""
+        if self.answer_started_at is None:
+            self.answer_started_at = now
--- a/packages/loomyard-router/src/loomyard_router/routed/routed_request.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/routed_request.py
@@ -1,4 +1,4 @@
-"""A request on a route."""
+"""A caller's request on a route."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from loomyard_router.routes.account_terms import AccountTerms
 from loomyard_router.routes.route import Route
 
-# An output token takes as much of an engine as two prompt tokens, by the platform's account.
+# Cost of an output token in prompt tokens, as the platform accounts for engine time.
 OUTPUT_WEIGHT = 2
 PUBLIC_ACCOUNT = ""
 
 
 @define(kw_only=True, eq=False)
 class RoutedRequest:
-    """A request as it was read; ``deadline`` also bounds it by the timeout of its route.
+    """A decoded request; ``deadline`` is the earlier one of the caller and of the route's timeout.
 
-    ``suspicion`` is how many targets are known to have ended under it. Of the send under way
-    ``send_rank`` is its place in the sends under which targets may end, and ``began_at`` when the
-    first event came. ``release_body`` gives back the bytes of the body.
+    ``crash_count`` is the number of targets known to have crashed under it. Of the attempt under
+    way, ``send_rank`` is its number among those under which targets may crash, and
+    ``first_event_at`` the time of its first event. ``release_body`` frees the memory of the body.
     """
 
     head: RequestHead
@@ -47,7 +47,7 @@
 
     @property
     def fingerprint(self) -> str:
-        """Return by what the request is known when it comes again; made when it is first needed."""
+        """Return the fingerprint by which a repeat is recognized, computed on first use."""
         if not self._fingerprint:
             self._fingerprint = make_fingerprint(
                 method=self.method,
@@ -69,9 +69,9 @@
 
     @property
     def output_tokens(self) -> int:
-        """Return how many tokens are likely made: the caller's estimate within its bound."""
-        most, hint = self.head.max_output_tokens, self.head.output_hint
-        return most if hint is None else min(most or hint, hint)
+        """Return the expected number of output tokens: the caller's hint, at most its limit."""
+        limit, hint = self.head.max_output_tokens, self.head.output_hint
+        return limit if hint is None else min(limit or hint, hint)
 
     @property
     def shared_prompt_tokens(self) -> int:
@@ -80,9 +80,9 @@
 
     @property
     def affinity_key(self) -> str:
-        """Return the id of the longest prompt that other requests share, empty without one."""
+        """Return the id of the longest prompt prefix to share with others, empty without prompt."""
         prompt = self.head.prompt
         if not prompt:
             return ""
-        # The last part is the request's own.
+        # The last part belongs to this request alone.
         return prompt[-2].id if len(prompt) > 1 else prompt[0].id
--- a/packages/loomyard-router/src/loomyard_router/routed/target_connection.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/target_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a target, and one exchange on it at a time."""
+"""Connection to a target that carries one exchange at a time."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
     from loomyard_router.routed.deadline_watch import DeadlineWatch
 
 READ_BYTES = 65536
-# A longer body is sent by a task of its own, since the target may answer before it is read.
-SMALL_BODY = 8192
+# A longer body is sent by a task of its own, as the target may answer before it has read it.
+SMALL_BODY_BYTES = 8192
 
 
 class ExchangeBrokenError(OSError):
-    """The connection broke, or what came on it was no answer."""
+    """The connection broke, or the bytes received are no HTTP answer."""
 
 
-class ExchangeLateError(ExchangeBrokenError):
-    """Nothing came until the deadline."""
+class ExchangeTimeoutError(ExchangeBrokenError):
+    """The deadline passed before the exchange was complete."""
 
 
 class TargetConnection:
-    """A connection; ``close`` from another task ends a wait with an error."""
+    """A connection; ``close`` by another task makes a blocked send or read raise an error."""
 
     def __init__(self, sock: socket.socket, clock: Clock, watch: DeadlineWatch) -> None:
         self._socket = sock
@@ -55,15 +55,15 @@
 
     @property
     def reusable(self) -> bool:
-        """Tell whether the exchange ended so that another may follow."""
+        """Tell whether the exchange is complete and the connection can carry another."""
         parser = self._parser
         if parser is None or not parser.ended or parser.excess:
             return False
         return self._sent and not self.closed and parser.should_keep_alive()
 
     @property
-    def quiet(self) -> bool:
-        """Tell whether an idle connection is open and nothing has come on it."""
+    def idle_and_open(self) -> bool:
+        """Tell whether an idle connection is open and has no unexpected data."""
         try:
             self._socket._sock.recv(1, sockets.MSG_PEEK)
         except BlockingIOError:
@@ -73,14 +73,14 @@
         return False
 
     def send(self, head: bytes, body: bytes, method: str, deadline: float) -> None:
-        """Send a request; a long body goes on while the answer is awaited."""
+        """Send a request; a long body is sent in the background."""
         self._parser = AnswerParser(method)
         self._sent = False
-        self._watch.begin(self, deadline)
-        if len(body) <= SMALL_BODY:
+        self._watch.set_deadline(self, deadline)
+        if len(body) <= SMALL_BODY_BYTES:
             self._send_all(head + body, deadline)
         else:
-            self._sender = gevent.spawn(self._send_apart, head + body, deadline)
+            self._sender = gevent.spawn(self._send_in_background, head + body, deadline)
 
     def read_head(self, deadline: float) -> None:
         """Wait for the head of the final answer."""
@@ -90,28 +90,28 @@
             self._read(deadline)
 
     def read_block(self, deadline: float) -> bytes:
-        """Return what has come of the body, waiting for some; empty at its end."""
+        """Return the next bytes of the body, waiting for some; empty at its end."""
         parser = self._parser
         assert parser is not None
         while True:
-            data = parser.take_body()
+            data = parser.read_body()
             if data or parser.ended:
                 return data
             self._read(deadline)
 
-    def rest(self) -> None:
-        """Take in that the exchange has ended and the connection is kept."""
-        self._watch.end(self)
+    def mark_idle(self) -> None:
+        """Remove the deadline, as the exchange has ended and the connection is kept."""
+        self._watch.clear_deadline(self)
 
     def expire(self) -> None:
-        """Close, since the deadline of the exchange has passed."""
+        """Close, as the deadline of the exchange has passed."""
         self._expired = True
         self.close()
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the socket at once and stop sending."""
         self.closed = True
-        self._watch.end(self)
+        self._watch.clear_deadline(self)
         sender, self._sender = self._sender, None
         if sender is not None:
             sender.kill(block=False)
@@ -119,45 +119,45 @@
 
     def _read(self, deadline: float) -> None:
         if self._expired or self._clock.now() >= deadline:
-            raise ExchangeLateError("the deadline passed")
+            raise ExchangeTimeoutError("the deadline passed")
         try:
             data = self._socket.recv(READ_BYTES)
         except OSError as error:
             if self._expired:
-                raise ExchangeLateError("nothing came until the deadline") from error
+                raise ExchangeTimeoutError("no data before the deadline") from error
             raise ExchangeBrokenError(str(error)) from error
         parser = self._parser
         assert parser is not None
         try:
             parser.feed(data)
-        except Exception as error:  # the parser raises many types on bytes that are no answer
-            raise ExchangeBrokenError(f"no answer: {error}") from error
+        except Exception as error:  # the parser raises many types on malformed answers
+            raise ExchangeBrokenError(f"malformed answer: {error}") from error
         if not data and not parser.ended:
             raise ExchangeBrokenError("closed before the end of the answer")
 
-    def _send_apart(self, data: bytes, deadline: float) -> None:
+    def _send_in_background(self, data: bytes, deadline: float) -> None:
         try:
             self._send_all(data, deadline)
         except ExchangeBrokenError:
-            # The reader sees the broken connection, or an answer that came before the body.
+            # The reading task sees the broken connection, or an answer sent before the whole body.
             return
 
     def _send_all(self, data: bytes, deadline: float) -> None:
         sent = 0
         while sent < len(data):
             if self._expired or self._clock.now() >= deadline:
-                raise ExchangeLateError("the deadline passed before the request was sent")
+                raise ExchangeTimeoutError("the deadline passed before the request was sent")
             try:
                 sent += self._socket.send(memoryview(data)[sent:])
             except OSError as error:
                 if self._expired:
-                    raise ExchangeLateError("the target does not read the request") from error
+                    raise ExchangeTimeoutError("the target does not read the request") from error
                 raise ExchangeBrokenError(str(error)) from error
         self._sent = True
 
 
 def connect(address: str, clock: Clock, seconds: float, watch: DeadlineWatch) -> TargetConnection:
-    """Open a connection. Errors: ``OSError``; nothing was sent then."""
+    """Open a connection within ``seconds``. Errors: ``OSError``; nothing was sent then."""
     sock = socket.create_connection(split_address(address), timeout=seconds)
     sock.settimeout(None)
     disable_delay(sock)
--- a/packages/loomyard-router/src/loomyard_router/routed/unread_answer_metrics.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/unread_answer_metrics.py
@@ -1,4 +1,4 @@
-"""What operators see of answers that their callers do not read."""
+"""Metrics of answers that their callers do not read."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @frozen(kw_only=True)
 class UnreadAnswerMetrics:
-    """Counts since the start: answers kept here for slow callers, and those broken off."""
+    """Callables that count since the start: answers buffered for slow callers, and aborted ones."""
 
     buffered: Callable[[], int] = lambda: 0
     aborted: Callable[[], int] = lambda: 0
--- a/packages/loomyard-router/src/loomyard_router/routed/unread_answers.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/unread_answers.py
@@ -1,4 +1,4 @@
-"""Take answers that their callers do not read off their targets."""
+"""Buffering of answers that their callers do not read, so that targets get their slots back."""
 
 from __future__ import annotations
 
@@ -19,18 +19,19 @@
 
 logger = logging.getLogger(__name__)
 
-# A caller that reads takes a block within a few milliseconds, over a lossy link within some 200.
+# A caller that reads takes a block within a few milliseconds, over a lossy link within about 200.
 UNREAD_SECONDS = 0.5
-LOOK_SECONDS = 0.25
-# Targets cut answers off that stay unread for some seconds; until then there may be room again.
-GIVE_UP_SECONDS = 2.5
+CHECK_SECONDS = 0.25
+# Wait for free memory before an answer is aborted; targets themselves cut off an answer that is
+# not read for some seconds.
+MEMORY_WAIT_SECONDS = 2.5
 
 
 class UnreadAnswers:
-    """Watch answers that wait for their callers; one task looks at all of them while there are any.
+    """Watch answers that wait for their callers, in one task that runs only while there are any.
 
-    A place at a target is worth more than the memory of an answer, so what comes is kept here, as
-    far as the budget of bytes goes; beyond it the answer is broken off.
+    A slot at a target is worth more than the memory of an answer. So the rest of an unread answer
+    is buffered here within the memory budget; beyond it the answer is aborted.
     """
 
     def __init__(self, clock: Clock, budget: BodyBudget) -> None:
@@ -38,41 +39,41 @@
         self.budget = budget
         self.buffered = 0
         self.aborted = 0
-        self._waiting: dict[PassedAnswer, float] = {}
+        self._waiting: dict[BufferedAnswer, float] = {}
         self._task: gevent.Greenlet | None = None
 
-    def enter(self, answer: PassedAnswer) -> None:
-        """Take in that a block is given to a caller."""
+    def add_waiting(self, answer: BufferedAnswer) -> None:
+        """Record that a block was handed to a caller."""
         self._waiting[answer] = self.clock.now()
         if self._task is None:
             self._task = gevent.spawn(self._run)
 
-    def leave(self, answer: PassedAnswer) -> None:
-        """Take in that the caller has it, or is gone."""
+    def remove_waiting(self, answer: BufferedAnswer) -> None:
+        """Record that the caller took the block, or has gone."""
         self._waiting.pop(answer, None)
 
-    def look(self) -> None:
-        """Take off what has waited for too long."""
+    def check(self) -> None:
+        """Start to buffer the answers that have waited for too long."""
         oldest = self.clock.now() - UNREAD_SECONDS
         for answer, since in list(self._waiting.items()):
             if since <= oldest:
-                self.leave(answer)
+                self.remove_waiting(answer)
                 self.buffered += 1
-                answer.take_off()
+                answer.start_buffering()
 
     def _run(self) -> None:
         while self._waiting:
-            self.clock.sleep(LOOK_SECONDS)
-            self.look()
+            self.clock.sleep(CHECK_SECONDS)
+            self.check()
         self._task = None
 
 
-class PassedAnswer:
-    """The blocks of one answer on their way from its target to its caller.
+class BufferedAnswer:
+    """The blocks of one answer, from its target to its caller.
 
-    They are read as the caller takes them. Once it is seen not to, a task of its own reads all that
-    is left; ``ended`` is called when nothing more comes from the target, with why that was broken
-    off, if it was.
+    They are read from the target as the caller takes them. For a caller that does not, a task reads
+    the rest into memory and calls ``ended`` when it is done with the target, with the reason if the
+    answer was aborted, else with an empty text.
     """
 
     def __init__(
@@ -88,36 +89,36 @@
         self._request_id = request_id
         self._unread = unread
         self._ended = ended
-        self._lease = unread.budget.open(account)
-        self._kept: Queue = Queue()
+        self._reservation = unread.budget.make_reservation(account)
+        self._buffer: Queue = Queue()
         self._reader: gevent.Greenlet | None = None
 
     def blocks(self) -> Generator[bytes, None, None]:
-        """Give the blocks to the caller."""
+        """Yield the blocks to the caller."""
         try:
             for block in self._source:
-                self._unread.enter(self)
+                self._unread.add_waiting(self)
                 yield block
-                self._unread.leave(self)
+                self._unread.remove_waiting(self)
                 if self._reader is not None:
-                    yield from self._give_kept()
+                    yield from self._yield_buffered()
                     return
         finally:
-            self._unread.leave(self)
+            self._unread.remove_waiting(self)
             if self._reader is None:
                 self._source.close()
             else:
                 self._reader.kill(block=False)
-            self._lease.end()
+            self._reservation.release()
 
-    def take_off(self) -> None:
-        """Read on without the caller."""
+    def start_buffering(self) -> None:
+        """Read the rest of the answer without waiting for the caller."""
         emit(logger, Event.ANSWER_UNREAD, request=self._request_id, seconds=UNREAD_SECONDS)
         self._reader = gevent.spawn(self._read_all)
 
-    def _give_kept(self) -> Generator[bytes, None, None]:
+    def _yield_buffered(self) -> Generator[bytes, None, None]:
         while True:
-            block = self._kept.get()
+            block = self._buffer.get()
             if block is None:
                 return
             if isinstance(block, AnswerBrokenError):
@@ -131,30 +132,30 @@
         try:
             for block in self._source:
                 size += len(block)
-                if not self._find_room(size):
-                    detail = self._give_up(size)
+                if not self._reserve(size):
+                    detail = self._record_abort(size)
                     outcome = AnswerBrokenError(detail)
                     return
-                self._kept.put(block)
+                self._buffer.put(block)
             outcome = None
         except AnswerBrokenError as error:
             outcome = error
         finally:
-            self._kept.put(outcome)
+            self._buffer.put(outcome)
             self._source.close()
             self._ended(detail)
 
-    def _find_room(self, size: int) -> bool:
-        """Wait for room in memory while the caller may still read."""
-        deadline = self._unread.clock.now() + GIVE_UP_SECONDS
-        while self._lease.grow_to(size).is_err():
+    def _reserve(self, size: int) -> bool:
+        """Reserve memory, waiting for some to be released; tell whether that succeeded."""
+        deadline = self._unread.clock.now() + MEMORY_WAIT_SECONDS
+        while self._reservation.grow_to(size).is_err():
             if self._unread.clock.now() >= deadline:
                 return False
-            self._unread.clock.sleep(LOOK_SECONDS)
+            self._unread.clock.sleep(CHECK_SECONDS)
         return True
 
-    def _give_up(self, size: int) -> str:
+    def _record_abort(self, size: int) -> str:
         self._unread.aborted += 1
-        detail = f"the caller does not read, and {size} bytes of the answer find no room here"
+        detail = f"the caller does not read, and no memory is left for {size} bytes of the answer"
         emit(logger, Event.ANSWER_GIVEN_UP, request=self._request_id, detail=detail)
         return detail
--- a/tests/test_loomyard_router/test_routed/test_body_budget.py
+++ b/tests/test_loomyard_router/test_routed/test_body_budget.py
@@ -14,7 +14,12 @@
 
 from loomyard.errors import ResultCode
 from loomyard_router.platform.settings_file import BODIES_PART
-from loomyard_router.routed.body_budget import ACCOUNT_PART, SMALL_BYTES, SMALL_PART, BodyBudget
+from loomyard_router.routed.body_budget import (
+    ACCOUNT_FRACTION,
+    SMALL_BYTES,
+    SMALL_FRACTION,
+    BodyBudget,
+)
 from loomyard_router.routes.account_terms import AccountTerms
 from loomyard_router.routes.caller_limits import CallerLimits
 from test_loomyard_router.test_routed.routed_case import RoutedCase, request_bytes, route
@@ -39,38 +44,38 @@
         self.budget = BodyBudget(MOST, random.Random(3))
 
     def hold(self, account: str, size: int) -> bool:
-        return self.budget.open(account).grow_to(size).is_ok()
+        return self.budget.make_reservation(account).grow_to(size).is_ok()
 
     def test_large_bodies_leave_a_part_to_small_ones(self) -> None:
         held = sum(self.hold(f"a{n}", LARGE) for n in range(60))
-        self.assertLessEqual(held * LARGE, MOST * (1.0 - SMALL_PART))
+        self.assertLessEqual(held * LARGE, MOST * (1.0 - SMALL_FRACTION))
         small = sum(self.hold("b", SMALL_BYTES) for _ in range(60))
         self.assertEqual(60, small)
 
     def test_no_account_takes_all_of_the_room_of_large_ones(self) -> None:
         held = sum(self.hold("a", LARGE) for _ in range(60))
         self.assertGreater(held, 0)
-        self.assertLessEqual(held * LARGE, ACCOUNT_PART * MOST * (1.0 - SMALL_PART))
+        self.assertLessEqual(held * LARGE, ACCOUNT_FRACTION * MOST * (1.0 - SMALL_FRACTION))
         self.assertTrue(self.hold("b", LARGE))
 
     def test_one_body_of_an_account_may_take_more_than_its_part(self) -> None:
         budget = BodyBudget(6 * MEGABYTE, random.Random(3))
-        self.assertTrue(budget.open("a").grow_to(LARGE).is_ok())
+        self.assertTrue(budget.make_reservation("a").grow_to(LARGE).is_ok())
 
     def test_a_body_without_a_length_grows_until_it_finds_no_room(self) -> None:
-        lease = self.budget.open("a")
+        lease = self.budget.make_reservation("a")
         sizes = iter(range(SMALL_BYTES, 2 * MOST, SMALL_BYTES))
         refused = next(size for size in sizes if lease.grow_to(size).is_err())
-        self.assertLessEqual(refused - SMALL_BYTES, MOST * (1.0 - SMALL_PART))
-        lease.end()
-        lease.end()
-        self.assertEqual(0, self.budget.lent)
+        self.assertLessEqual(refused - SMALL_BYTES, MOST * (1.0 - SMALL_FRACTION))
+        lease.release()
+        lease.release()
+        self.assertEqual(0, self.budget.held_bytes)
         self.assertTrue(self.hold("a", LARGE))
 
     def test_a_refusal_says_when_to_come_back_and_what_is_held(self) -> None:
         while self.hold("a", LARGE):
             pass
-        fault = self.budget.open("a").grow_to(LARGE).unwrap_err()
+        fault = self.budget.make_reservation("a").grow_to(LARGE).unwrap_err()
         self.assertIs(ResultCode.BODIES_HELD, fault.code)
         self.assertGreater(fault.retry_after or 0.0, 0.0)
         self.assertIn(str(LARGE), fault.detail)
@@ -105,19 +110,19 @@
         statuses = [one.get() for one in uploads]
         self.assertEqual({200, 503}, set(statuses))
         self.assertEqual([200] * 4, [one.get().status for one in small])
-        self.assertLessEqual(self.router.bodies.peak, MOST)
+        self.assertLessEqual(self.router.bodies.peak_bytes, MOST)
         self.assertEqual(statuses.count(503), self.router.bodies.refused)
 
     def test_what_was_held_is_given_back(self) -> None:
         self.upload(1)
-        self.until(lambda: self.router.bodies.lent == 0)
+        self.until(lambda: self.router.bodies.held_bytes == 0)
 
     def test_a_caller_that_leaves_while_it_sends_gives_it_back(self) -> None:
         sock = self.connect()
         sock.sendall(request_bytes("/p/x", body=b"x" * LARGE)[:MEGABYTE])
-        self.until(lambda: self.router.bodies.lent == LARGE)
+        self.until(lambda: self.router.bodies.held_bytes == LARGE)
         sock.close()
-        self.until(lambda: self.router.bodies.lent == 0)
+        self.until(lambda: self.router.bodies.held_bytes == 0)
 
 
 if __name__ == "__main__":
--- a/tests/test_loomyard_router/test_routed/test_deadline_watch.py
+++ b/tests/test_loomyard_router/test_routed/test_deadline_watch.py
@@ -7,8 +7,12 @@
 import gevent
 from attrs import define, field
 
-from loomyard_router.routed.deadline_watch import LOOK_SECONDS, DeadlineWatch
-from loomyard_router.routed.event_coalescer import BEHIND_SECONDS, HELD_PART, EventCoalescer
+from loomyard_router.routed.deadline_watch import CHECK_SECONDS, DeadlineWatch
+from loomyard_router.routed.event_coalescer import (
+    DELAY_FRACTION,
+    LAG_THRESHOLD_SECONDS,
+    EventCoalescer,
+)
 from loomyard_standins.stepped_clock import SteppedClock
 
 
@@ -31,30 +35,30 @@
     def test_each_ends_once_and_soon_after_its_deadline(self) -> None:
         exchanges = [Exchange(self.clock) for _ in range(5)]
         for number, exchange in enumerate(exchanges):
-            self.watch.begin(exchange, 1.0 + number)
+            self.watch.set_deadline(exchange, 1.0 + number)
         self.clock.run(20.0)
         for number, exchange in enumerate(exchanges):
             (ended_at,) = exchange.ended_at
             self.assertGreaterEqual(ended_at, 1.0 + number)
-            self.assertLessEqual(ended_at, 1.0 + number + 2 * LOOK_SECONDS)
+            self.assertLessEqual(ended_at, 1.0 + number + 2 * CHECK_SECONDS)
 
     def test_one_that_ended_or_got_a_later_deadline_is_left_alone(self) -> None:
         ended, later = Exchange(self.clock), Exchange(self.clock)
-        self.watch.begin(ended, 1.0)
-        self.watch.begin(later, 1.0)
-        self.watch.end(ended)
-        self.watch.begin(later, 5.0)
+        self.watch.set_deadline(ended, 1.0)
+        self.watch.set_deadline(later, 1.0)
+        self.watch.clear_deadline(ended)
+        self.watch.set_deadline(later, 5.0)
         self.clock.run(4.0)
         self.assertEqual(([], []), (ended.ended_at, later.ended_at))
         self.clock.run(6.0)
         self.assertEqual(1, len(later.ended_at))
 
     def test_nothing_runs_while_there_is_nothing_to_watch(self) -> None:
-        self.watch.begin(Exchange(self.clock), 0.1)
+        self.watch.set_deadline(Exchange(self.clock), 0.1)
         self.clock.run(1.0)
         self.assertEqual([], self.clock._sleepers)
         again = Exchange(self.clock)
-        self.watch.begin(again, 2.0)
+        self.watch.set_deadline(again, 2.0)
         self.clock.run(3.0)
         self.assertEqual(1, len(again.ended_at))
 
@@ -67,7 +71,7 @@
         ended: list[float] = []
 
         def run() -> None:
-            pace.hold()
+            pace.delay_read()
             ended.append(clock.now())
 
         gevent.spawn(run)
@@ -76,11 +80,11 @@
 
     def test_events_are_passed_on_as_they_come_unless_the_router_is_behind(self) -> None:
         self.assertEqual(0.0, self.held(0.0, 0.2))
-        self.assertEqual(0.0, self.held(BEHIND_SECONDS, 0.2))
+        self.assertEqual(0.0, self.held(LAG_THRESHOLD_SECONDS, 0.2))
 
     def test_one_that_is_behind_holds_them_for_less_than_users_allow(self) -> None:
-        self.assertAlmostEqual(HELD_PART * 0.2, self.held(2 * BEHIND_SECONDS, 0.2))
-        self.assertLess(HELD_PART, 0.5)
+        self.assertAlmostEqual(DELAY_FRACTION * 0.2, self.held(2 * LAG_THRESHOLD_SECONDS, 0.2))
+        self.assertLess(DELAY_FRACTION, 0.5)
 
     def test_where_users_say_nothing_nothing_is_held(self) -> None:
         self.assertEqual(0.0, self.held(1.0, 0.0))
--- a/tests/test_loomyard_router/test_routed/test_early_refusal.py
+++ b/tests/test_loomyard_router/test_routed/test_early_refusal.py
@@ -88,7 +88,7 @@
         self.target_ = self.target("t1", plain_script)
         self.publish(route())
         self.waiting = self.router._admission.backlog
-        self.early = self.router._listener.early
+        self.early = self.router._listener.early_refusal
 
     def overload(self) -> None:
         self.early._overloaded = lambda: True
@@ -105,7 +105,7 @@
 
     def test_a_router_that_is_behind_refuses_without_reading(self) -> None:
         self.overload()
-        self.router.app._read = self.fail
+        self.router.app._read_request = self.fail
         self.assert_refused(self.call())
         self.assert_refused(self.call(method="GET", body=b""))
         self.assertEqual([], self.target_.received)
@@ -117,7 +117,7 @@
 
     def test_an_account_of_which_many_wait_for_engines_is_refused(self) -> None:
         self.fill("north")
-        self.router.app._read = self.fail
+        self.router.app._read_request = self.fail
         self.assert_refused(self.call(**PROMPT))
 
     def test_its_plain_requests_and_those_of_others_are_served(self) -> None:
@@ -131,8 +131,8 @@
         head = request_bytes("/p/x")
         end = head.index(b"\r\n\r\n")
         for first in (b"", head[:20], head[: end + 2], head.replace(b"Content-Length", b"X-Not")):
-            self.assertIsNone(self.early.judge(first))
-        self.assertIsNotNone(self.early.judge(head))
+            self.assertIsNone(self.early.check(first))
+        self.assertIsNotNone(self.early.check(head))
 
     def test_an_unknown_key_is_still_told_so(self) -> None:
         self.fill("north")
@@ -143,7 +143,7 @@
         for number in range(5):
             self.call(Loomyard_Attempt_Id=f"a{number}", **PROMPT)
         with patch.object(early_refusal, "emit") as emit:
-            self.early._tell()
+            self.early._write_log()
         told = [call.kwargs for call in emit.mock_calls if Event.REFUSED_EARLY in call.args]
         self.assertEqual(1, len(told))
         self.assertEqual((5, {"north": 5}, "a0"), tuple(told[0][n] for n in NAMES))
--- a/tests/test_loomyard_router/test_routed/test_loop_lag.py
+++ b/tests/test_loomyard_router/test_routed/test_loop_lag.py
@@ -7,7 +7,7 @@
 import gevent
 
 from loomyard_router.requests.caller_presence import CallerPresence
-from loomyard_router.routed.loop_lag import KEPT_SECONDS, LoopLag
+from loomyard_router.routed.loop_lag import MAX_AGE_SECONDS, LoopLag
 from loomyard_standins.fake_clock import FakeClock
 from test_loomyard_router.test_routed.routed_case import RoutedCase, route
 from test_loomyard_router.test_routed.scripted_target import plain_script
@@ -55,7 +55,7 @@
 
     def test_what_was_seen_long_ago_says_nothing(self) -> None:
         self.ask_before(50)
-        self.clock.advance(KEPT_SECONDS + 0.01)
+        self.clock.advance(MAX_AGE_SECONDS + 0.01)
         self.assertFalse(self.lag.overloaded)
 
 
--- a/tests/test_loomyard_router/test_routed/test_unread_answers.py
+++ b/tests/test_loomyard_router/test_routed/test_unread_answers.py
@@ -17,10 +17,10 @@
 from loomyard_router.requests.whole_answers import AnswerBrokenError
 from loomyard_router.routed.body_budget import BodyBudget
 from loomyard_router.routed.unread_answers import (
-    GIVE_UP_SECONDS,
-    LOOK_SECONDS,
+    CHECK_SECONDS,
+    MEMORY_WAIT_SECONDS,
     UNREAD_SECONDS,
-    PassedAnswer,
+    BufferedAnswer,
     UnreadAnswers,
 )
 from loomyard_standins.fake_clock import FakeClock
@@ -56,7 +56,7 @@
             raise AnswerBrokenError("the target ended")
 
     def answer(self, **options: bool) -> Generator[bytes, None, None]:
-        return PassedAnswer(
+        return BufferedAnswer(
             self.source(**options),
             request_id="r-1",
             account="a",
@@ -67,7 +67,7 @@
     def pass_time(self, seconds: float) -> None:
         until = self.clock.now() + seconds
         while self.clock.now() < until:
-            self.clock.advance(LOOK_SECONDS)
+            self.clock.advance(CHECK_SECONDS)
             for _ in range(3):
                 gevent.sleep(0)
 
@@ -77,13 +77,13 @@
         self.assertEqual(1, self.read)
         self.assertEqual(EVENTS[1:], list(answer))
         self.pass_time(2 * UNREAD_SECONDS)
-        self.assertEqual((0, 0), (self.unread.buffered, self.budget.peak))
+        self.assertEqual((0, 0), (self.unread.buffered, self.budget.peak_bytes))
 
     def test_answers_that_are_not_read_leave_their_targets(self) -> None:
         answers = [self.answer() for _ in range(STREAMS)]
         for answer in answers:
             next(answer)
-        self.pass_time(UNREAD_SECONDS + LOOK_SECONDS)
+        self.pass_time(UNREAD_SECONDS + CHECK_SECONDS)
         self.assertEqual([""] * STREAMS, self.ended)
         self.assertEqual(STREAMS, self.unread.buffered)
 
@@ -92,7 +92,7 @@
         got = [next(answer)]
         self.pass_time(2 * UNREAD_SECONDS)
         self.assertEqual(EVENTS, got + list(answer))
-        self.assertEqual(0, self.budget.lent)
+        self.assertEqual(0, self.budget.held_bytes)
 
     def test_one_that_its_target_breaks_off_does_not_seem_whole(self) -> None:
         answer = self.answer(broken=True)
@@ -107,22 +107,22 @@
         self.make(len(EVENTS[0]) * 2)
         answer = self.answer()
         next(answer)
-        self.pass_time(UNREAD_SECONDS + LOOK_SECONDS)
+        self.pass_time(UNREAD_SECONDS + CHECK_SECONDS)
         self.assertEqual([], self.ended)
-        self.pass_time(GIVE_UP_SECONDS + LOOK_SECONDS)
+        self.pass_time(MEMORY_WAIT_SECONDS + CHECK_SECONDS)
         self.assertEqual(1, self.unread.aborted)
-        self.assertIn("find no room", self.ended[0])
+        self.assertIn("no memory is left", self.ended[0])
         with self.assertRaises(AnswerBrokenError):
             list(answer)
-        self.assertEqual(0, self.budget.lent)
+        self.assertEqual(0, self.budget.held_bytes)
 
     def test_a_caller_that_goes_gives_all_back(self) -> None:
         answer = self.answer()
         next(answer)
         self.pass_time(2 * UNREAD_SECONDS)
-        self.assertGreater(self.budget.lent, 0)
+        self.assertGreater(self.budget.held_bytes, 0)
         answer.close()
-        self.assertEqual(0, self.budget.lent)
+        self.assertEqual(0, self.budget.held_bytes)
 
 
 class UnreadOverSocketsTest(RoutedCase):
