--- a/tests/test_loomyard_router/test_routed/routed_case.py
+++ b/tests/test_loomyard_router/test_routed/routed_case.py
@@ -1,4 +1,4 @@
-"""A router on loopback with feeds in memory and scripted targets."""
+"""Test case with a router on loopback, feeds in memory and scripted targets."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 @define(eq=False)
 class MemoryFeed:
-    """A feed in memory; ``down`` makes each call fail."""
+    """Feed in memory; while ``down``, every call fails."""
 
     name: str
     records: list[KeyedRecord] = field(factory=list)
@@ -54,7 +54,7 @@
         self._wake()
 
     def lose(self) -> None:
-        """Let each read fail, also those that wait."""
+        """Make every read fail, also pending ones."""
         self.down = True
         self._wake()
 
@@ -83,7 +83,7 @@
 
 
 class RoutedCase(unittest.TestCase):
-    """Start a router; tests put targets and tables as objects under a number."""
+    """Start a router; its feeds carry the index of a target or table in ``objects``."""
 
     grace = 8.0
     most_connections = 100
@@ -104,7 +104,7 @@
                 feed_pace=0.0,
                 most_connections=self.most_connections,
                 body_bytes=self.body_bytes,
-                # No verdict may hang on how busy the machine is.
+                # Results must not depend on the load of the VM that runs the tests.
                 most_lag=math.inf,
                 retries=RetryTerms(ratio=0.2, window=10.0, slack=20.0),
             ),
@@ -114,7 +114,7 @@
         self.addCleanup(self.router.stop)
 
     def platform(self) -> RoutedPlatform:
-        """Return feeds in memory and the platform's ways to speak."""
+        """Return the feeds in memory and the codecs of the platform."""
         return RoutedPlatform(
             clock=SystemClock(),
             tables=self.tables,
@@ -154,7 +154,7 @@
         return target
 
     def announce(self, target: AnnouncedTarget) -> None:
-        """Announce a target, or its new state."""
+        """Announce a target or its changed state, and wait until the router knows it."""
         self.targets.put(target.id, self._keep(target))
         self.until(lambda: target in self.router.registry.listed())
 
@@ -188,7 +188,7 @@
         return response
 
     def cut(self, path: str, **headers: str) -> bytes:
-        """Send a request whose answer is cut, and return all bytes that came."""
+        """Send a request whose answer is cut off, and return all bytes received."""
         sock = self.connect()
         sock.sendall(request_bytes(path, **headers))
         data = b""
@@ -220,7 +220,7 @@
 def request_bytes(
     path: str, *, method: str = "POST", body: bytes = b"hello", **headers: str
 ) -> bytes:
-    """Return a request in the platform's words; header names take underscores for dashes."""
+    """Return a request with the platform's headers; names take underscores for dashes."""
     fields = {
         "Host": "a.example",
         "Loomyard-Attempt-Id": "attempt-1",
--- a/tests/test_loomyard_router/test_routed/scripted_target.py
+++ b/tests/test_loomyard_router/test_routed/scripted_target.py
@@ -1,4 +1,4 @@
-"""A target on loopback that answers as a test tells it, in the platform's words."""
+"""Target on loopback that answers by a script of the test, with the platform's headers."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @define(eq=False)
 class ScriptedTarget:
-    """Record requests and answer each by the script; one that returns true closes."""
+    """Record requests and answer each by the script; a true result closes the connection."""
 
     id: str
     service: str
@@ -88,7 +88,7 @@
     echo: str | None = None,
     extra: str = "",
 ) -> bytes:
-    """Return a framed answer with the mark of a target."""
+    """Return a complete answer with the attempt id and the stamp of a target."""
     attempt = request.attempt_id if echo is None else echo
     return (
         f"HTTP/1.1 {status}\r\nLoomyard-Attempt-Id: {attempt}\r\n"
@@ -98,7 +98,7 @@
 
 
 def refusal(request: Received) -> bytes:
-    """Return the answer of a target that did not run a request."""
+    """Return a 503 answer which states that the request did not run."""
     return (
         f"HTTP/1.1 503 Service Unavailable\r\nLoomyard-Attempt-Id: {request.attempt_id}\r\n"
         "Loomyard-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -130,7 +130,7 @@
 
 
 def hang(_: Received, sock: socket.socket) -> None:
-    """Answer nothing until the router goes."""
+    """Send nothing until the router closes the connection."""
     while sock.recv(1024):
         gevent.sleep(0)
-    raise OSError("the router went")
+    raise OSError("the router closed the connection")
--- a/tests/test_loomyard_router/test_routed/test_answers.py
+++ b/tests/test_loomyard_router/test_routed/test_answers.py
@@ -1,4 +1,4 @@
-"""Tests of answers and streams on their way to callers."""
+"""Tests of the relay of answers and streams to callers."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 
 class TestAnswers(RoutedCase):
-    def test_an_answer_to_another_attempt_reaches_nobody(self) -> None:
+    def test_an_answer_to_another_attempt_is_not_relayed(self) -> None:
         self.target("t1", lambda r, sock: sock.sendall(answer(r, echo="another")))
         self.publish(route())
         response = self.call()
         self.assertEqual((502, b""), (response.status, response.data))
 
-    def test_a_success_without_the_mark_of_a_target_reaches_nobody(self) -> None:
+    def test_a_success_without_the_stamp_of_a_target_is_not_relayed(self) -> None:
         def unmarked(request: Received, sock: socket.socket) -> None:
             whole = answer(request).replace(b"Loomyard-Server-Stamp", b"X-Nothing")
             sock.sendall(whole)
@@ -42,7 +42,7 @@
         self.publish(route())
         self.assertEqual(502, self.call().status)
 
-    def test_bytes_after_an_answer_end_the_connection(self) -> None:
+    def test_a_connection_with_bytes_after_an_answer_is_not_reused(self) -> None:
         target = self.target("t1", lambda r, sock: sock.sendall(answer(r) + answer(r, b"again")))
         self.publish(route(**REPEATABLE))
         for number in range(3):
@@ -50,7 +50,7 @@
             self.assertEqual(b"whole", response.data)
         self.assertEqual(3, target.connections)
 
-    def test_a_late_second_answer_is_not_the_next_ones(self) -> None:
+    def test_a_late_second_answer_is_not_taken_for_the_next_answer(self) -> None:
         def twice(request: Received, sock: socket.socket) -> None:
             sock.sendall(answer(request, request.attempt_id.encode()))
             gevent.sleep(0.02)
@@ -72,7 +72,7 @@
         self.publish(route())
         self.assertEqual((502, b""), (self.call().status, self.call().data))
 
-    def test_bytes_that_are_no_answer(self) -> None:
+    def test_bytes_that_are_not_http_give_502(self) -> None:
         def spoil(request: Received, sock: socket.socket) -> bool:
             sock.sendall(b"\x00\x01 nonsense\r\n\r\n")
             return True
@@ -81,7 +81,7 @@
         self.publish(route())
         self.assertEqual(502, self.call().status)
 
-    def test_an_answer_without_a_length(self) -> None:
+    def test_an_answer_without_a_length_ends_with_its_connection(self) -> None:
         def unframed(request: Received, sock: socket.socket) -> bool:
             sock.sendall(answer(request).replace(b"Content-Length: 5\r\n", b""))
             return True
@@ -90,7 +90,7 @@
         self.publish(route())
         self.assertEqual(b"whole", self.call().data)
 
-    def test_an_answer_before_a_long_body_was_read(self) -> None:
+    def test_an_answer_sent_before_a_long_body_was_read_is_relayed(self) -> None:
         def early(request: Received, sock: socket.socket) -> None:
             sock.sendall(answer(request, b"no", status="400 Bad Request"))
 
@@ -102,7 +102,7 @@
 
 
 class TestStreams(RoutedCase):
-    def test_whole_events_pass_as_they_come(self) -> None:
+    def test_events_split_over_chunks_are_relayed_complete(self) -> None:
         def stream(request: Received, sock: socket.socket) -> None:
             sock.sendall(stream_head(request))
             for number in range(3):
@@ -115,7 +115,7 @@
         self.publish(route(service="engine", kind=RouteKind.STREAM))
         self.assertEqual(event(0) + event(1) + event(2), self.call().data)
 
-    def test_a_broken_stream_goes_on_at_another_target_under_the_first_head(self) -> None:
+    def test_a_broken_stream_is_resumed_at_another_target_under_the_first_head(self) -> None:
         def stream(request: Received, sock: socket.socket) -> bool:
             after = request.headers.get("last-event-id")
             first = 0 if after is None else int(after) + 1
@@ -157,7 +157,7 @@
         self.publish(route(service="engine", kind=RouteKind.STREAM))
         self.assertFalse(self.cut("/p/x").endswith(b"0\r\n\r\n"))
 
-    def test_a_caller_goes_on_after_the_event_that_it_names(self) -> None:
+    def test_a_caller_resumes_after_the_event_that_it_names(self) -> None:
         def stream(request: Received, sock: socket.socket) -> None:
             first = int(request.headers["last-event-id"]) + 1
             sock.sendall(stream_head(request) + chunk(event(first)) + b"0\r\n\r\n")
--- a/tests/test_loomyard_router/test_routed/test_body_budget.py
+++ b/tests/test_loomyard_router/test_routed/test_body_budget.py
@@ -1,7 +1,7 @@
-"""How many bytes of request bodies a router holds, and who finds room.
+"""Tests of the memory budget for request bodies.
 
-Load: 60 callers of one account send bodies of 4 MiB at once to the smallest VM, of 160 MB, while
-another account sends small requests. Without a bound the router grew by 309 MB, and is killed.
+Without it, 60 callers of one account that send 4 MiB bodies at once to a router on the smallest VM,
+which has 160 MB, make the router grow by 309 MB, so that it is killed.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 MEGABYTE = 1 << 20
 LARGE = 4 * MEGABYTE
 SMALLEST_VM = 160 * MEGABYTE
-MOST = int(BODIES_PART * SMALLEST_VM)
+MAX_BYTES = int(BODIES_PART * SMALLEST_VM)
 
 
 def answer_late(request: Received, sock: socket.socket) -> None:
@@ -41,38 +41,38 @@
 
 class BodyBudgetTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.budget = BodyBudget(MOST, random.Random(3))
+        self.budget = BodyBudget(MAX_BYTES, random.Random(3))
 
     def hold(self, account: str, size: int) -> bool:
         return self.budget.make_reservation(account).grow_to(size).is_ok()
 
-    def test_large_bodies_leave_a_part_to_small_ones(self) -> None:
+    def test_large_bodies_leave_a_fraction_to_small_ones(self) -> None:
         held = sum(self.hold(f"a{n}", LARGE) for n in range(60))
-        self.assertLessEqual(held * LARGE, MOST * (1.0 - SMALL_FRACTION))
+        self.assertLessEqual(held * LARGE, MAX_BYTES * (1.0 - SMALL_FRACTION))
         small = sum(self.hold("b", SMALL_BYTES) for _ in range(60))
         self.assertEqual(60, small)
 
-    def test_no_account_takes_all_of_the_room_of_large_ones(self) -> None:
+    def test_no_account_uses_all_of_the_budget_for_large_bodies(self) -> None:
         held = sum(self.hold("a", LARGE) for _ in range(60))
         self.assertGreater(held, 0)
-        self.assertLessEqual(held * LARGE, ACCOUNT_FRACTION * MOST * (1.0 - SMALL_FRACTION))
+        self.assertLessEqual(held * LARGE, ACCOUNT_FRACTION * MAX_BYTES * (1.0 - SMALL_FRACTION))
         self.assertTrue(self.hold("b", LARGE))
 
-    def test_one_body_of_an_account_may_take_more_than_its_part(self) -> None:
+    def test_a_single_body_of_an_account_may_exceed_its_fraction(self) -> None:
         budget = BodyBudget(6 * MEGABYTE, random.Random(3))
         self.assertTrue(budget.make_reservation("a").grow_to(LARGE).is_ok())
 
-    def test_a_body_without_a_length_grows_until_it_finds_no_room(self) -> None:
-        lease = self.budget.make_reservation("a")
-        sizes = iter(range(SMALL_BYTES, 2 * MOST, SMALL_BYTES))
-        refused = next(size for size in sizes if lease.grow_to(size).is_err())
-        self.assertLessEqual(refused - SMALL_BYTES, MOST * (1.0 - SMALL_FRACTION))
-        lease.release()
-        lease.release()
+    def test_a_body_without_a_length_grows_until_the_budget_is_used_up(self) -> None:
+        reservation = self.budget.make_reservation("a")
+        sizes = iter(range(SMALL_BYTES, 2 * MAX_BYTES, SMALL_BYTES))
+        refused = next(size for size in sizes if reservation.grow_to(size).is_err())
+        self.assertLessEqual(refused - SMALL_BYTES, MAX_BYTES * (1.0 - SMALL_FRACTION))
+        reservation.release()
+        reservation.release()
         self.assertEqual(0, self.budget.held_bytes)
         self.assertTrue(self.hold("a", LARGE))
 
-    def test_a_refusal_says_when_to_come_back_and_what_is_held(self) -> None:
+    def test_a_refusal_has_a_retry_after_and_states_the_size(self) -> None:
         while self.hold("a", LARGE):
             pass
         fault = self.budget.make_reservation("a").grow_to(LARGE).unwrap_err()
@@ -82,9 +82,9 @@
 
 
 class UploadsTest(RoutedCase):
-    """The same over sockets."""
+    """The same over sockets, with a router that has this budget."""
 
-    body_bytes = MOST
+    body_bytes = MAX_BYTES
 
     def setUp(self) -> None:
         super().setUp()
@@ -100,7 +100,7 @@
     def upload(self, number: int) -> int:
         return self.call(body=b"x" * LARGE, Loomyard_Attempt_Id=f"large-{number}").status
 
-    def test_uploads_that_find_no_room_are_refused_and_small_requests_served(self) -> None:
+    def test_uploads_beyond_the_budget_are_refused_and_small_requests_served(self) -> None:
         uploads = [gevent.spawn(self.upload, number) for number in range(20)]
         small = [
             gevent.spawn(self.call, Loomyard_Attempt_Id=f"s-{n}", Authorization="Bearer key-s")
@@ -110,14 +110,14 @@
         statuses = [one.get() for one in uploads]
         self.assertEqual({200, 503}, set(statuses))
         self.assertEqual([200] * 4, [one.get().status for one in small])
-        self.assertLessEqual(self.router.bodies.peak_bytes, MOST)
+        self.assertLessEqual(self.router.bodies.peak_bytes, MAX_BYTES)
         self.assertEqual(statuses.count(503), self.router.bodies.refused)
 
-    def test_what_was_held_is_given_back(self) -> None:
+    def test_the_memory_is_released_after_the_answer(self) -> None:
         self.upload(1)
         self.until(lambda: self.router.bodies.held_bytes == 0)
 
-    def test_a_caller_that_leaves_while_it_sends_gives_it_back(self) -> None:
+    def test_a_disconnect_during_the_upload_releases_the_memory(self) -> None:
         sock = self.connect()
         sock.sendall(request_bytes("/p/x", body=b"x" * LARGE)[:MEGABYTE])
         self.until(lambda: self.router.bodies.held_bytes == LARGE)
--- a/tests/test_loomyard_router/test_routed/test_connections.py
+++ b/tests/test_loomyard_router/test_routed/test_connections.py
@@ -1,4 +1,4 @@
-"""Tests of callers that go, connections and stops."""
+"""Tests of callers that disconnect, of connection limits, store outages, start and stop."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 REPEATABLE = {"kind": RouteKind.IDEMPOTENT}
 
 
-class TestCallersThatGo(RoutedCase):
-    def test_a_caller_that_goes_ends_its_work_at_the_target(self) -> None:
+class TestCallersThatDisconnect(RoutedCase):
+    def test_a_disconnect_cancels_the_work_at_the_target(self) -> None:
         for kind in ({"kind": RouteKind.STREAM}, REPEATABLE):
             with self.subTest(kind=kind):
                 target = self.target(f"t-{kind['kind'].value}", hang, kind["kind"].value)
@@ -46,7 +46,7 @@
                 sock.close()
                 self.until(lambda target=target: target.broken_off)
 
-    def test_the_place_of_a_caller_that_goes_is_free_again(self) -> None:
+    def test_a_disconnect_frees_the_slot(self) -> None:
         target = self.target("t1", hang, "engine")
         self.publish(route(service="engine", kind=RouteKind.STREAM))
         socks = []
@@ -72,15 +72,15 @@
         self.assertEqual(503, self.call(sock=sock).status)
         self.assertEqual(b"", sock.recv(1))
 
-    def test_too_many_connections_close_the_one_that_rested_longest(self) -> None:
+    def test_too_many_connections_close_the_one_idle_longest(self) -> None:
         self.target("t1", plain_script)
         self.publish(route())
-        resting = [self.connect() for _ in range(3)]
-        for number, sock in enumerate(resting):
+        idle = [self.connect() for _ in range(3)]
+        for number, sock in enumerate(idle):
             self.call(sock=sock, Loomyard_Attempt_Id=f"a{number}")
         self.assertEqual(200, self.call(Loomyard_Attempt_Id="last").status)
-        self.assertEqual(b"", resting[0].recv(1))
-        self.assertEqual(200, self.call(sock=resting[1], Loomyard_Attempt_Id="more").status)
+        self.assertEqual(b"", idle[0].recv(1))
+        self.assertEqual(200, self.call(sock=idle[1], Loomyard_Attempt_Id="more").status)
 
 
 class TestStoreOutage(RoutedCase):
@@ -89,7 +89,7 @@
         self.lost = gevent.event.Event()
 
     def lose_store(self) -> None:
-        """Let each read fail, also those that wait."""
+        """Make every read of the store fail, also pending ones."""
         for feed, follower in (
             (self.tables, self.router._tables),
             (self.targets, self.router._targets),
@@ -98,7 +98,7 @@
             self.until(lambda follower=follower: not follower.answering)
 
     def check_it_is_answered(self, kind: RouteKind, script: Script, body: bytes) -> None:
-        """Lose the store while a target runs a request; ``lost`` tells the script."""
+        """Lose the store while a target runs a request; the script waits for ``lost``."""
         target = self.target("t1", script)
         self.publish(route(kind=kind))
         calling = gevent.spawn(self.call)
@@ -119,17 +119,17 @@
         self.lost.wait()
         sock.sendall(chunk(event(1)) + chunk(b""))
 
-    def test_it_cuts_no_idempotent_request(self) -> None:
+    def test_an_outage_interrupts_no_idempotent_request(self) -> None:
         self.check_it_is_answered(RouteKind.IDEMPOTENT, self.answer_during_outage, b"whole")
 
-    def test_it_cuts_no_request_that_runs_once(self) -> None:
+    def test_an_outage_interrupts_no_non_idempotent_request(self) -> None:
         self.check_it_is_answered(RouteKind.NON_IDEMPOTENT, self.answer_during_outage, b"whole")
 
-    def test_it_cuts_no_stream(self) -> None:
+    def test_an_outage_interrupts_no_stream(self) -> None:
         both = event(0) + event(1)
         self.check_it_is_answered(RouteKind.STREAM, self.stream_into_outage, both)
 
-    def test_what_comes_meanwhile_is_served(self) -> None:
+    def test_new_requests_are_served_during_an_outage(self) -> None:
         self.target("t1", plain_script)
         self.publish(route())
         self.lose_store()
@@ -137,7 +137,7 @@
 
 
 class TestStart(RoutedCase):
-    def test_a_secret_that_everybody_can_read_is_told_loudly(self) -> None:
+    def test_the_example_secret_is_logged_as_a_warning(self) -> None:
         settings = attrs.evolve(self.router._settings, fleet_secret=("mine", "replace-me-soon"))
         router = RoutedApplication(settings, self.platform())
         self.addCleanup(router.stop)
@@ -147,11 +147,11 @@
 
 
 class TestStop(RoutedCase):
-    def test_a_stop_lets_what_runs_end_and_refuses_what_comes_late(self) -> None:
-        go_on = gevent.event.Event()
+    def test_a_stop_lets_running_requests_finish_and_accepts_no_new_connections(self) -> None:
+        finish = gevent.event.Event()
 
         def slow(request: Received, sock: socket.socket) -> None:
-            go_on.wait()
+            finish.wait()
             sock.sendall(answer(request))
 
         target = self.target("t1", slow)
@@ -166,7 +166,7 @@
         with self.assertRaises(ConnectionRefusedError):
             self.connect()
         self.assertEqual(b"", kept.recv(10))
-        go_on.set()
+        finish.set()
         response = running.get()
         self.assertEqual((200, b"whole"), (response.status, response.data))
         self.assertEqual("close", response.headers["Connection"])
--- a/tests/test_loomyard_router/test_routed/test_deadline_watch.py
+++ b/tests/test_loomyard_router/test_routed/test_deadline_watch.py
@@ -1,4 +1,4 @@
-"""Tests of exchanges that end at their deadlines, and of events that travel together."""
+"""Tests of the enforcement of deadlines and of the coalescing of events."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @define(eq=False)
 class Exchange:
-    """An exchange that notes when it was ended."""
+    """Exchange that records when it expired."""
 
     clock: SteppedClock
     ended_at: list[float] = field(factory=list)
@@ -32,7 +32,7 @@
         self.clock = SteppedClock()
         self.watch = DeadlineWatch(self.clock)
 
-    def test_each_ends_once_and_soon_after_its_deadline(self) -> None:
+    def test_each_expires_once_and_soon_after_its_deadline(self) -> None:
         exchanges = [Exchange(self.clock) for _ in range(5)]
         for number, exchange in enumerate(exchanges):
             self.watch.set_deadline(exchange, 1.0 + number)
@@ -42,7 +42,7 @@
             self.assertGreaterEqual(ended_at, 1.0 + number)
             self.assertLessEqual(ended_at, 1.0 + number + 2 * CHECK_SECONDS)
 
-    def test_one_that_ended_or_got_a_later_deadline_is_left_alone(self) -> None:
+    def test_one_that_ended_or_got_a_later_deadline_does_not_expire(self) -> None:
         ended, later = Exchange(self.clock), Exchange(self.clock)
         self.watch.set_deadline(ended, 1.0)
         self.watch.set_deadline(later, 1.0)
@@ -53,7 +53,7 @@
         self.clock.run(6.0)
         self.assertEqual(1, len(later.ended_at))
 
-    def test_nothing_runs_while_there_is_nothing_to_watch(self) -> None:
+    def test_no_task_runs_while_there_is_no_deadline(self) -> None:
         self.watch.set_deadline(Exchange(self.clock), 0.1)
         self.clock.run(1.0)
         self.assertEqual([], self.clock._sleepers)
@@ -63,31 +63,33 @@
         self.assertEqual(1, len(again.ended_at))
 
 
-class EventPaceTest(unittest.TestCase):
-    def held(self, lag: float, most: float) -> float:
-        """Return for how long a stream is left alone after an event."""
+class EventCoalescerTest(unittest.TestCase):
+    def read_delay(self, lag: float, max_delay: float) -> float:
+        """Return the seconds for which a read is delayed."""
         clock = SteppedClock()
-        pace = EventCoalescer(clock=clock, max_delay=most, lag=lambda: lag)
+        coalescer = EventCoalescer(clock=clock, max_delay=max_delay, lag=lambda: lag)
         ended: list[float] = []
 
         def run() -> None:
-            pace.delay_read()
+            coalescer.delay_read()
             ended.append(clock.now())
 
         gevent.spawn(run)
         clock.run(10.0)
         return ended[0]
 
-    def test_events_are_passed_on_as_they_come_unless_the_router_is_behind(self) -> None:
-        self.assertEqual(0.0, self.held(0.0, 0.2))
-        self.assertEqual(0.0, self.held(LAG_THRESHOLD_SECONDS, 0.2))
+    def test_no_read_is_delayed_unless_the_router_lags(self) -> None:
+        self.assertEqual(0.0, self.read_delay(0.0, 0.2))
+        self.assertEqual(0.0, self.read_delay(LAG_THRESHOLD_SECONDS, 0.2))
 
-    def test_one_that_is_behind_holds_them_for_less_than_users_allow(self) -> None:
-        self.assertAlmostEqual(DELAY_FRACTION * 0.2, self.held(2 * LAG_THRESHOLD_SECONDS, 0.2))
+    def test_a_lagging_router_delays_reads_for_less_than_users_allow(self) -> None:
+        self.assertAlmostEqual(
+            DELAY_FRACTION * 0.2, self.read_delay(2 * LAG_THRESHOLD_SECONDS, 0.2)
+        )
         self.assertLess(DELAY_FRACTION, 0.5)
 
-    def test_where_users_say_nothing_nothing_is_held(self) -> None:
-        self.assertEqual(0.0, self.held(1.0, 0.0))
+    def test_without_a_maximum_delay_no_read_is_delayed(self) -> None:
+        self.assertEqual(0.0, self.read_delay(1.0, 0.0))
 
 
 if __name__ == "__main__":
--- a/tests/test_loomyard_router/test_routed/test_emptied_and_cold.py
+++ b/tests/test_loomyard_router/test_routed/test_evacuated_and_cold.py
@@ -1,7 +1,7 @@
-"""Tests of data centres that operators empty, and of targets that are cold.
+"""Tests of evacuated data centres and of cold targets.
 
-Seen when the deployment that has both was played for the first time: targets of an emptied data
-centre went on getting all their work, and a target that had just started got more than it bears.
+They guard against two faults: targets of an evacuated data centre kept getting all their requests,
+and a target that had just started got more requests than it can bear while cold.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from test_loomyard_router.test_routed.scripted_target import plain_script
 
 
-class EmptiedDataCentreTest(RoutedCase):
-    def test_a_data_centre_that_is_emptied_gets_no_new_work_until_it_is_taken_back(self) -> None:
+class EvacuatedDataCentreTest(RoutedCase):
+    def test_an_evacuated_data_centre_gets_no_new_requests_until_it_is_reinstated(self) -> None:
         for data_centre in ("north", "south"):
             target = self.target(f"t-{data_centre}", plain_script)
             self.announce(target.announced(data_centre=data_centre))
         self.tables.put("evacuate/north", b"{}")
-        # Records come in order, so what stands before this version was read with it.
+        # Records are read in order, so the router has read the earlier ones with this version.
         self.publish(route(), version=2)
         self.assertEqual(["t-south"], [one.id for one in self.router.registry.usable("plain")])
         self.tables.put("evacuate/north", None)
@@ -29,7 +29,7 @@
 
 
 class ColdTargetTest(unittest.TestCase):
-    def test_a_target_that_says_that_it_is_cold_is_told_apart(self) -> None:
+    def test_a_target_that_announces_that_it_is_cold_differs_from_a_warm_one(self) -> None:
         announced = {"service": "s", "address": "127.0.0.1:1", "state": "ready"}
         cold, warm = (
             decode_target("t", json.dumps({**announced, "cold_left_ms": left}).encode()).unwrap()
--- a/tests/test_loomyard_router/test_routed/test_fingerprint.py
+++ b/tests/test_loomyard_router/test_routed/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Tests of what tells that a request comes again."""
+"""Tests of the fingerprint that recognizes a repeated request."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     def test_the_same_request_has_the_same_fingerprint(self) -> None:
         self.assertEqual(make_fingerprint(**ASKED), make_fingerprint(**ASKED))
 
-    def test_each_part_tells_requests_apart(self) -> None:
+    def test_requests_that_differ_in_any_field_have_different_fingerprints(self) -> None:
         changes = {
             "method": "GET",
             "host": "b.example",
@@ -24,7 +24,7 @@
         seen = {make_fingerprint(**{**ASKED, part: other}) for part, other in changes.items()}
         self.assertEqual(len(changes), len(seen - {make_fingerprint(**ASKED)}))
 
-    def test_what_moves_from_one_part_to_the_next_is_another_request(self) -> None:
+    def test_text_that_moves_from_one_field_to_the_next_changes_the_fingerprint(self) -> None:
         moved = {**ASKED, "host": "a.example/p", "path": "/x"}
         self.assertNotEqual(make_fingerprint(**ASKED), make_fingerprint(**moved))
 
--- a/tests/test_loomyard_router/test_routed/test_targets_that_refuse.py
+++ b/tests/test_loomyard_router/test_routed/test_refusing_targets.py
@@ -1,7 +1,8 @@
-"""Tests of targets that turn requests away at once and say nothing else.
+"""Tests of targets that refuse requests at once without asking for back-off.
 
-Seen: engines that turned away all they got were sent up to 49 requests a second, two to three times
-what each engine got that worked; 0.3 of the requests were refused after attempts there.
+Where refusals do not count as failures, engines that refuse everything get up to 49 requests a
+second, two to three times as many as each working engine, and 30 % of the requests are refused
+after attempts there.
 """
 
 from __future__ import annotations
@@ -26,8 +27,8 @@
     import socket
 
 CALLS = 40
-# Longer than any machine takes for the calls, so that no verdict hangs on how busy it is.
-REST_SECONDS = 600.0
+# Longer than the calls can take, so that no result depends on the load of the VM.
+EJECTION_SECONDS = 600.0
 ENGINE = EngineTerms(slots=4)
 
 
@@ -36,8 +37,8 @@
     sock.sendall(answer(request, status="500 Internal Server Error"))
 
 
-def turn_away(request: Received, sock: socket.socket) -> None:
-    """Turn a request away."""
+def refuse(request: Received, sock: socket.socket) -> None:
+    """Refuse a request."""
     sock.sendall(refusal(request))
 
 
@@ -45,12 +46,14 @@
     def setUp(self) -> None:
         super().setUp()
         for name in ("FIRST_EJECTION_SECONDS", "MAX_EJECTION_SECONDS"):
-            patch = mock.patch.object(ejection_tracker, name, REST_SECONDS)
+            patch = mock.patch.object(ejection_tracker, name, EJECTION_SECONDS)
             patch.start()
             self.addCleanup(patch.stop)
 
-    def test_a_target_that_turns_all_away_is_left_alone_like_one_that_fails_all(self) -> None:
-        scripts: dict[str, Script] = {"failing": fail, "refusing": turn_away}
+    def test_a_target_that_refuses_everything_is_ejected_like_one_that_fails_everything(
+        self,
+    ) -> None:
+        scripts: dict[str, Script] = {"failing": fail, "refusing": refuse}
         for kind, terms in (("plain", None), ("engine", ENGINE)):
             services = [ServiceTerms(name=f"{kind}-{name}", engine=terms) for name in scripts]
             kinds = {"kind": RouteKind.IDEMPOTENT}
@@ -62,8 +65,8 @@
             with self.subTest(kind=kind):
                 self.assertLessEqual(refusing, failing)
 
-    def test_what_is_turned_away_is_given_to_nobody(self) -> None:
-        self.target("t1", turn_away, "engine")
+    def test_refused_requests_do_not_count_as_usage_of_the_account(self) -> None:
+        self.target("t1", refuse, "engine")
         self.publish(route("/engine/", "engine"))
         admission = self.router._admission
         for number in range(CALLS):
@@ -71,7 +74,7 @@
         self.assertLess(admission.ledger.usage("north"), 1.0)
 
     def count_calls(self, service: str, script: Script) -> int:
-        """Return how many of some requests reach a target beside one that works."""
+        """Return how many of ``CALLS`` requests reach a target beside one that works."""
         target = self.target(f"{service}-1", script, service)
         self.target(f"{service}-2", plain_script, service)
         for number in range(CALLS):
--- a/tests/test_loomyard_router/test_routed/test_requests.py
+++ b/tests/test_loomyard_router/test_routed/test_requests.py
@@ -1,4 +1,4 @@
-"""Tests of requests on routes and their repeats."""
+"""Tests of requests on routes and their retries."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class TestRequests(RoutedCase):
-    def test_what_a_target_gets(self) -> None:
+    def test_the_request_that_a_target_receives(self) -> None:
         target = self.target("t1", plain_script)
         self.publish(route())
         response = self.call(
@@ -68,7 +68,7 @@
         self.assertEqual(200, self.call(Authorization="", Loomyard_Tenant="x").status)
         self.assertNotIn("loomyard-tenant", target.received[0].headers)
 
-    def test_unknown_key_route_and_host(self) -> None:
+    def test_an_unknown_key_route_or_host_is_refused(self) -> None:
         target = self.target("t1", plain_script)
         self.publish(route())
         self.assertEqual(401, self.call(Authorization="Bearer nobody").status)
@@ -76,12 +76,12 @@
         self.assertEqual(404, self.call(Host="b.example").status)
         self.assertEqual([], target.received)
 
-    def test_without_a_configuration_nothing_is_denied(self) -> None:
+    def test_without_a_configuration_the_answer_is_503_instead_of_404(self) -> None:
         response = self.call()
         self.assertEqual(503, response.status)
         self.assertGreater(float(response.headers["Retry-After"]), 0)
 
-    def test_a_body_over_the_limit(self) -> None:
+    def test_a_body_over_the_limit_is_refused(self) -> None:
         target = self.target("t1", plain_script)
         self.publish(route(), limits=CallerLimits(body_bytes=10))
         self.assertEqual(413, self.call(body=b"x" * 11).status)
@@ -96,7 +96,7 @@
         self.assertIn(b"200 OK", sock.recv(100))
         self.assertEqual(b"hello", target.received[0].body)
 
-    def test_a_connection_is_kept(self) -> None:
+    def test_the_connection_to_the_target_is_reused(self) -> None:
         target = self.target("t1", plain_script)
         self.publish(route(**REPEATABLE))
         sock = self.connect()
@@ -107,30 +107,30 @@
 
 
 class TestLeavingTargets(RoutedCase):
-    def test_a_target_that_began_to_leave_during_the_wait_for_a_place_gets_nothing(self) -> None:
+    def test_a_target_that_began_to_leave_during_the_wait_for_a_slot_gets_no_request(self) -> None:
         targets = {name: self.target(name, plain_script) for name in ("t1", "t2")}
         self.publish(route())
         forwarder, registry = self.router.app._forwarder, self.router.registry
         gate, left = forwarder._gate, []
 
-        class LateGate:
+        class LeavingGate:
             def acquire(
                 self, request: RoutedRequest, avoided: frozenset[str]
             ) -> Result[SlotPermit, Fault]:
-                place = gate.acquire(request, avoided)
+                permit = gate.acquire(request, avoided)
                 if not left:
-                    left.append(place.unwrap().target)
+                    left.append(permit.unwrap().target)
                     registry.apply([evolve(left[0], draining=True)], [])
-                return place
+                return permit
 
-        forwarder._gate = LateGate()
+        forwarder._gate = LeavingGate()
         self.assertEqual(200, self.call().status)
         leaving = left[0].id
         self.assertEqual([], targets[leaving].received)
         self.assertEqual(1, sum(len(target.received) for target in targets.values()))
 
 
-class TestRepeats(RoutedCase):
+class TestRetries(RoutedCase):
     def test_a_refusal_that_says_not_run_goes_to_another_target(self) -> None:
         self.target("t1", lambda request, sock: sock.sendall(refusal(request)))
         self.target("t2", lambda request, sock: sock.sendall(refusal(request)))
@@ -139,14 +139,14 @@
         self.assertEqual(200, self.call().status)
         self.assertEqual(1, len(taking.received))
 
-    def test_refused_by_all_is_refused_as_not_run(self) -> None:
+    def test_a_request_refused_by_all_targets_is_refused_as_not_run(self) -> None:
         self.target("t1", lambda request, sock: sock.sendall(refusal(request)))
         self.publish(route())
         response = self.call()
         self.assertEqual(503, response.status)
         self.assertGreater(float(response.headers["Retry-After"]), 0)
 
-    def test_a_wrong_target_at_the_address_has_not_run_it(self) -> None:
+    def test_a_misdirected_request_counts_as_not_run(self) -> None:
         def misdirected(request: Received, sock: socket.socket) -> None:
             sock.sendall(b"HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n")
 
@@ -155,7 +155,7 @@
         self.publish(route())
         self.assertEqual(503, self.call().status)
 
-    def test_what_may_run_once_is_sent_once(self) -> None:
+    def test_a_non_idempotent_request_is_sent_once(self) -> None:
         first = self.target("t1", lambda request, sock: True)
         second = self.target("t2", lambda request, sock: True)
         self.publish(route())
@@ -171,7 +171,7 @@
         self.assertEqual(502, self.call().status)
         self.assertEqual(1, len(first.received) + len(second.received))
 
-    def test_a_repeatable_request_goes_on_within_its_attempts(self) -> None:
+    def test_an_idempotent_request_is_retried_up_to_its_attempts(self) -> None:
         received = []
 
         def lose(request: Received, sock: socket.socket) -> bool:
@@ -184,7 +184,7 @@
         self.assertEqual(502, self.call().status)
         self.assertEqual(3, len(received))
 
-    def test_an_error_of_a_target_is_passed_on_or_repeated(self) -> None:
+    def test_an_error_of_a_target_is_relayed_or_retried(self) -> None:
         def fail(request: Received, sock: socket.socket) -> None:
             sock.sendall(answer(request, b"broken", status="500 Internal Server Error"))
 
@@ -197,12 +197,12 @@
         statuses = {self.call("/again/x", Loomyard_Attempt_Id=f"a{n}").status for n in range(4)}
         self.assertEqual({200}, statuses)
 
-    def test_the_timeout_of_the_route_ends_it(self) -> None:
+    def test_the_timeout_of_the_route_gives_504(self) -> None:
         self.target("t1", hang)
         self.publish(route(timeout=0.3))
         self.assertEqual(504, self.call().status)
 
-    def test_an_unreachable_target_was_sent_nothing(self) -> None:
+    def test_an_unreachable_target_does_not_count_as_an_attempt(self) -> None:
         gone = self.target("t1", plain_script)
         gone.stop()
         taking = self.target("t2", plain_script)
@@ -213,7 +213,7 @@
 
 
 class TestTargetsThatLeave(RoutedCase):
-    def test_a_draining_target_gets_nothing_new(self) -> None:
+    def test_a_draining_target_gets_no_new_requests(self) -> None:
         leaving = self.target("t1", plain_script)
         self.publish(route(**REPEATABLE))
         self.assertEqual(200, self.call().status)
--- a/tests/test_loomyard_router/test_routed/test_what_targets_say.py
+++ b/tests/test_loomyard_router/test_routed/test_target_notices.py
@@ -1,12 +1,9 @@
-"""Tests of what targets say of themselves in their answers.
-
-Seen: while the platform's store was away, a target that had said in each of its answers that it
-leaves went on getting 5 to 12 requests a second for 11 s; two engines that had turned requests
-away and asked for 3 s of rest got up to 49 a second, more than those that worked.
-Cause: the adapter read of an answer only whose it was and whether the request ran. What a target
-says of itself came by the store's list alone, and rest was no state that a router had.
-Shown by: with these words counted and nothing else changed, a router counted each leaving and each
-wish for rest here and went on sending, 5 to 10 of 12 requests; 1 since they decide.
+"""Tests of the notices of targets in their answers: that they leave, or ask for back-off.
+
+They guard against a router that learns of a leaving target only from the platform's store and has
+no back-off. With the store away, a target that says in every answer that it leaves then keeps
+getting requests, and engines that refuse requests with a Retry-After of 3 s get up to 49 a second,
+more than those that work. Here such a router sends the target 5 to 10 of 12 requests instead of 1.
 """
 
 from __future__ import annotations
@@ -37,18 +34,18 @@
 
 
 def leaving_script(request: Received, sock: socket.socket) -> None:
-    """Answer every request, and say that the target leaves."""
+    """Answer every request, with the header that says that the target leaves."""
     sock.sendall(answer(request, extra=LEAVING))
 
 
-def turn_away(request: Received, sock: socket.socket) -> None:
-    """Turn every request away and ask for a minute of rest."""
+def refuse_with_backoff(request: Received, sock: socket.socket) -> None:
+    """Refuse every request and ask for a back-off of a minute."""
     extra = "Loomyard-Not-Executed: 1\r\nRetry-After: 60\r\n"
     sock.sendall(answer(request, b"", status="503 Service Unavailable", extra=extra))
 
 
-class WhatTargetsSayTest(RoutedCase):
-    def test_a_target_that_says_that_it_leaves_gets_nothing_more(self) -> None:
+class TargetNoticesTest(RoutedCase):
+    def test_a_target_that_says_that_it_leaves_gets_no_more_requests(self) -> None:
         leaving, staying = self.start_targets(leaving_script), self.start_targets(plain_script)
         self.publish(*ROUTES)
         self.targets.lose()
@@ -58,16 +55,18 @@
                 self.assertEqual(1, len(leaving[service].received))
                 self.assertEqual(CALLS - 1, len(staying[service].received))
 
-    def test_a_target_that_asks_for_rest_gets_nothing_in_that_time(self) -> None:
-        tired, serving = self.start_targets(turn_away), self.start_targets(plain_script)
+    def test_a_target_that_asks_for_back_off_gets_no_requests_in_that_time(self) -> None:
+        backing_off, serving = self.start_targets(refuse_with_backoff), self.start_targets(
+            plain_script
+        )
         self.publish(*ROUTES)
         for service in SERVICES:
             self.call_often(service)
             with self.subTest(service=service):
-                self.assertEqual(1, len(tired[service].received))
+                self.assertEqual(1, len(backing_off[service].received))
                 self.assertEqual(CALLS, len(serving[service].received))
 
-    def test_all_kinds_of_answers_are_heard(self) -> None:
+    def test_notices_count_in_all_kinds_of_answers(self) -> None:
         scripts: dict[str, Script] = {
             "success": leaving_script,
             "an error of its own": lambda request, sock: sock.sendall(
@@ -97,8 +96,8 @@
                 self.until(lambda target=target: self.leaves(target))
                 self.assertEqual(1, len(target.received))
 
-    def test_metrics_tell_who_was_heard(self) -> None:
-        self.target("t1", turn_away)
+    def test_metrics_count_the_notices(self) -> None:
+        self.target("t1", refuse_with_backoff)
         self.target("t2", leaving_script)
         self.publish(*ROUTES)
         for number in range(CALLS):
@@ -112,7 +111,7 @@
         ):
             self.assertIn(line, text)
 
-    def test_whoever_else_has_the_address_is_not_heard(self) -> None:
+    def test_notices_of_another_target_at_the_address_are_ignored(self) -> None:
         def misdirect(_: Received, sock: socket.socket) -> None:
             head = f"HTTP/1.1 421 Misdirected Request\r\n{LEAVING}Retry-After: 60\r\n"
             sock.sendall(f"{head}Content-Length: 0\r\n\r\n".encode())
@@ -122,8 +121,8 @@
         self.assertEqual(503, self.call("/plain/x").status)
         self.assertTrue(self.router.registry.is_usable(target.announced()))
 
-    def test_what_only_resting_targets_could_serve_is_refused_at_once(self) -> None:
-        tired = self.start_targets(turn_away)
+    def test_a_request_that_only_targets_in_back_off_could_serve_is_refused_at_once(self) -> None:
+        backing_off = self.start_targets(refuse_with_backoff)
         self.publish(*ROUTES)
         for service in SERVICES:
             with self.subTest(service=service):
@@ -131,7 +130,7 @@
                     response = self.call(f"/{service}/x", Loomyard_Attempt_Id=f"a{number}")
                     self.assertEqual(503, response.status)
                     self.assertGreater(float(response.headers["Retry-After"]), 0)
-                self.assertEqual(1, len(tired[service].received))
+                self.assertEqual(1, len(backing_off[service].received))
 
     def begin_stream(self, request: Received, sock: socket.socket) -> None:
         """Begin a stream, say that the target leaves, and go on."""
@@ -140,7 +139,7 @@
         hang(request, sock)
 
     def leaves(self, target: ScriptedTarget) -> bool:
-        """Tell whether the router knows that a target leaves."""
+        """Tell whether the router sends a target no new requests, as it leaves."""
         return not self.router.registry.is_usable(target.announced())
 
     def start_targets(self, script: Script) -> dict[str, ScriptedTarget]:
--- a/tests/test_loomyard_router/test_routed/test_unread_answers.py
+++ b/tests/test_loomyard_router/test_routed/test_unread_answers.py
@@ -1,7 +1,7 @@
-"""What becomes of answers that their callers do not read.
+"""Tests of answers that their callers do not read.
 
-Load: 60 callers that read nothing of long streams held the places of an engine until it cut them
-off after 4 to 5 s; of the short streams of others 0.036 were served meanwhile.
+Without buffering, 60 callers that read nothing of long streams hold all slots of an engine until it
+cuts them off after 4 to 5 s; only 3.6 % of the short streams of others are served meanwhile.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 EVENTS = [b"event-%d" % number for number in range(5)]
 STREAMS = 60
-# Together more than the buffers of a connection on loopback take.
+# Together more than the socket buffers of a connection on loopback hold.
 LARGE_EVENTS = 200
 LARGE_EVENT = 1 << 16
 
@@ -71,7 +71,7 @@
             for _ in range(3):
                 gevent.sleep(0)
 
-    def test_a_caller_that_reads_has_it_as_it_comes(self) -> None:
+    def test_a_caller_that_reads_gets_blocks_as_they_arrive(self) -> None:
         answer = self.answer()
         self.assertEqual(EVENTS[0], next(answer))
         self.assertEqual(1, self.read)
@@ -79,7 +79,7 @@
         self.pass_time(2 * UNREAD_SECONDS)
         self.assertEqual((0, 0), (self.unread.buffered, self.budget.peak_bytes))
 
-    def test_answers_that_are_not_read_leave_their_targets(self) -> None:
+    def test_unread_answers_free_the_slots_at_their_targets(self) -> None:
         answers = [self.answer() for _ in range(STREAMS)]
         for answer in answers:
             next(answer)
@@ -87,14 +87,14 @@
         self.assertEqual([""] * STREAMS, self.ended)
         self.assertEqual(STREAMS, self.unread.buffered)
 
-    def test_a_caller_that_reads_again_has_the_whole_answer(self) -> None:
+    def test_a_caller_that_reads_again_gets_the_whole_answer(self) -> None:
         answer = self.answer()
         got = [next(answer)]
         self.pass_time(2 * UNREAD_SECONDS)
         self.assertEqual(EVENTS, got + list(answer))
         self.assertEqual(0, self.budget.held_bytes)
 
-    def test_one_that_its_target_breaks_off_does_not_seem_whole(self) -> None:
+    def test_a_buffered_answer_that_its_target_breaks_off_does_not_look_complete(self) -> None:
         answer = self.answer(broken=True)
         got = [next(answer)]
         self.pass_time(2 * UNREAD_SECONDS)
@@ -103,7 +103,7 @@
                 got.append(block)
         self.assertEqual(EVENTS, got)
 
-    def test_without_room_it_is_broken_off_and_does_not_seem_whole(self) -> None:
+    def test_without_memory_it_is_aborted_and_does_not_look_complete(self) -> None:
         self.make(len(EVENTS[0]) * 2)
         answer = self.answer()
         next(answer)
@@ -116,7 +116,7 @@
             list(answer)
         self.assertEqual(0, self.budget.held_bytes)
 
-    def test_a_caller_that_goes_gives_all_back(self) -> None:
+    def test_a_caller_that_disconnects_releases_the_memory(self) -> None:
         answer = self.answer()
         next(answer)
         self.pass_time(2 * UNREAD_SECONDS)
@@ -126,7 +126,7 @@
 
 
 class UnreadOverSocketsTest(RoutedCase):
-    """The same with a caller whose buffers are full."""
+    """The same over sockets, with a caller whose receive buffer is full."""
 
     def send_large_stream(self, request: Received, sock: socket.socket) -> None:
         sock.sendall(stream_head(request))
@@ -136,7 +136,7 @@
         sock.sendall(chunk(b""))
         self.sent_all = True
 
-    def test_the_target_is_done_before_the_caller_reads_and_the_answer_is_whole(self) -> None:
+    def test_the_target_finishes_before_the_caller_reads_and_the_answer_is_complete(self) -> None:
         self.sent_all = False
         self.target("t-1", self.send_large_stream)
         self.publish(route())
