--- a/packages/loomyard-router/src/loomyard_router/requests/__init__.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/__init__.py
@@ -1,1 +1,1 @@
-"""A caller's request from arrival to outcome."""
+"""Requests of client accounts, from arrival to outcome."""
--- a/packages/loomyard-router/src/loomyard_router/requests/answer.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/answer.py
@@ -11,8 +11,8 @@
 class Answer:
     """Status, headers and a body that is read as it arrives.
 
-    ``request_id`` is the id to tell the caller where it is more than that of the request, as it
-    is for a stream that can be resumed.
+    ``request_id`` is the id that the caller gets instead of that of the request, as for a stream
+    that can be resumed; empty otherwise.
     """
 
     status: int
--- a/packages/loomyard-router/src/loomyard_router/requests/answer_check.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/answer_check.py
@@ -1,4 +1,4 @@
-"""What an answer must be to count for its attempt."""
+"""Validation of a target's answer to an attempt."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 EVENT_STREAM_TYPE = "text/event-stream"
 REFUSED_RETRY_AFTER = 1.0
 MAX_RETRY_AFTER = 60.0
-LAST_STATUS = 599
+MAX_STATUS = 599
 
 
 def check_answer(request: Request, call: TargetCall, answer: TargetAnswer) -> Fault | None:
-    """Return why an answer doesn't count, or ``None`` where it does."""
+    """Return the fault of an answer that is a refusal or invalid, ``None`` for a valid one."""
     if answer.attempt_id and answer.attempt_id != call.attempt_id:
         return _invalid("the answer is for another attempt")
     headers = {name.lower(): value for name, value in answer.headers}
@@ -31,7 +31,7 @@
         detail = f"the target refused the request: status {answer.status}"
         retry_after = _retry_after(headers)
         return Fault(code=ResultCode.TARGET_REFUSED, detail=detail, retry_after=retry_after)
-    if not HTTPStatus.OK <= answer.status <= LAST_STATUS:
+    if not HTTPStatus.OK <= answer.status <= MAX_STATUS:
         return _invalid(f"the target answered with status {answer.status}")
     if request.service.type is ServiceType.MODEL:
         return _check_model_answer(request, answer, headers)
@@ -39,7 +39,7 @@
 
 
 def is_refusal(headers: dict[str, str]) -> bool:
-    """Tell whether a target states that nothing ran."""
+    """Tell whether a target states that it did not run the request."""
     return headers.get(NOT_RUN_HEADER) == "1" or is_leaving(headers)
 
 
@@ -48,8 +48,8 @@
     return headers.get(LEAVING_HEADER) == "1"
 
 
-def read_rest(headers: dict[str, str]) -> float:
-    """Return for how many seconds a target that refused wants nothing; 0 where it says nothing."""
+def read_backoff(headers: dict[str, str]) -> float:
+    """Return the seconds of back-off that a refusing target asks for; 0 where it asks for none."""
     return read_seconds(headers.get(RETRY_AFTER_HEADER, ""))
 
 
@@ -63,7 +63,7 @@
         return _invalid(f"the engine answered with status {answer.status}")
     streamed = headers.get("content-type", "").startswith(EVENT_STREAM_TYPE)
     if answer.status == HTTPStatus.OK and streamed != request.stream:
-        return _invalid("the engine answered in another form than asked for")
+        return _invalid("the answer is a stream and none was requested, or the reverse")
     return None
 
 
--- a/packages/loomyard-router/src/loomyard_router/requests/attempt.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one target, once it is answered."""
+"""An attempt at a target whose answer has begun."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @define(kw_only=True, eq=False)
 class Attempt:
-    """An attempt whose answer has begun; ``first`` is the part of the body read so far."""
+    """An attempt and its answer; ``first`` is the part of the body read so far."""
 
     number: int
     target: str
--- a/packages/loomyard-router/src/loomyard_router/requests/body.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/body.py
@@ -1,4 +1,4 @@
-"""The body of an answer on its way to the caller."""
+"""Body of an answer that is relayed to the caller."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Body:
-    """Blocks of a body, and what must happen at its end however it ends."""
+    """Blocks of a body; ``close`` calls ``ended`` once, however the body ends."""
 
     def __init__(self, blocks: Generator[bytes, None, None], ended: Callable[[], None]) -> None:
         self._blocks = blocks
@@ -22,7 +22,7 @@
         return next(self._blocks)
 
     def close(self) -> None:
-        """End the body; also one of which nothing was read."""
+        """Close the body, also one of which nothing was read."""
         ended, self._ended = self._ended, None
         self._blocks.close()
         if ended is not None:
--- a/packages/loomyard-router/src/loomyard_router/requests/caller_presence.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/caller_presence.py
@@ -1,4 +1,4 @@
-"""Whether the caller of a request is still there."""
+"""Presence of the caller of a request."""
 
 from __future__ import annotations
 
@@ -9,41 +9,41 @@
 
 
 class CallerPresence:
-    """Tell once that the caller has gone."""
+    """Track whether the caller is still connected, and notify listeners once when it has gone."""
 
     def __init__(self) -> None:
         self._gone = False
         self._listeners: list[Callable[[], None]] = []
-        self._connected: Callable[[], bool] | None = None
+        self._is_connected: Callable[[], bool] | None = None
 
     @property
     def gone(self) -> bool:
         return self._gone
 
-    def set_probe(self, connected: Callable[[], bool]) -> None:
-        """Take a way to look whether the caller is there, besides being told."""
-        self._connected = connected
+    def set_probe(self, is_connected: Callable[[], bool]) -> None:
+        """Set a function that checks the connection, in addition to ``mark_gone``."""
+        self._is_connected = is_connected
 
     def check(self) -> bool:
-        """Look now; where the process is busy, the word that a caller went comes late."""
-        if not self._gone and self._connected is not None and not self._connected():
+        """Check the connection now, as a busy process learns late of a closed one."""
+        if not self._gone and self._is_connected is not None and not self._is_connected():
             self.mark_gone()
         return not self._gone
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Call back when the caller goes; at once where it has gone already."""
+        """Call back when the caller has gone, at once where it has already."""
         if self._gone:
             listener()
         else:
             self._listeners.append(listener)
 
     def unsubscribe(self, listener: Callable[[], None]) -> None:
-        """Call back no longer."""
+        """Remove a listener, if it is subscribed."""
         if listener in self._listeners:
             self._listeners.remove(listener)
 
     def mark_gone(self) -> None:
-        """Take in that the caller has gone."""
+        """Record that the caller has gone, and notify the listeners the first time."""
         if self._gone:
             return
         self._gone = True
--- a/packages/loomyard-router/src/loomyard_router/requests/claimed_run.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/claimed_run.py
@@ -1,4 +1,4 @@
-"""The claim of one request, from claim to outcome."""
+"""Claim of an idempotency key by a request, from claim to outcome."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ClaimedRun:
-    """Steer a claim through its order; without a claim every step does nothing."""
+    """Take a claim through its states; for a request without a claim every step does nothing."""
 
     def __init__(self, keeper: ClaimKeeper, claim: Claim | None = None) -> None:
         self._keeper = keeper
@@ -46,14 +46,14 @@
             self._keeper.finish(claim, outcome)
 
     def abandon(self) -> None:
-        """Give the claim back, as nothing was sent."""
+        """Release the claim, as nothing ran."""
         claim, self._claim = self._claim, None
         if claim is not None:
             self._keeper.abandon(claim)
 
 
 def claim_run(keeper: ClaimKeeper, request: Request) -> Result[ClaimedRun | RecordedOutcome, Fault]:
-    """Claim the key of a request that may run once; other requests need no claim."""
+    """Claim the key of a request that may run only once; other requests need no claim."""
     key = claim_key_of(request)
     if key is None:
         return Ok(ClaimedRun(keeper))
--- a/packages/loomyard-router/src/loomyard_router/requests/costs.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/costs.py
@@ -9,10 +9,10 @@
 
 
 def token_cost(service: Service, *, prompt: int, completion: int) -> float:
-    """Return the cost of tokens."""
+    """Return the cost of prompt and completion tokens."""
     return service.prompt_weight * prompt + service.completion_weight * completion
 
 
 def time_cost(service: Service, seconds: float) -> float:
-    """Return the cost of target time."""
+    """Return the cost of some seconds of target time."""
     return service.second_weight * seconds
--- a/packages/loomyard-router/src/loomyard_router/requests/journal.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/journal.py
@@ -1,4 +1,4 @@
-"""What was decided for a request, for operators who ask."""
+"""Journal of the steps of recent requests, for operators."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Step(Enum):
-    """A step of a request."""
+    """Kinds of steps in the journal of a request."""
 
     RECEIVED = "received"
     QUEUED = "queued"
@@ -35,7 +35,7 @@
 
 @frozen
 class JournalEntry:
-    """A step, its wall time in seconds, and why."""
+    """A step, its wall-clock time in seconds, and a detail such as the reason."""
 
     at: float
     step: Step
@@ -43,7 +43,7 @@
 
 
 class Journal:
-    """The last requests of this router."""
+    """Steps of the last ``REMEMBERED_REQUESTS`` requests of this router."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -58,7 +58,7 @@
             self._entries.popitem(last=False)
 
     def explain(self, request_id: str) -> tuple[JournalEntry, ...]:
-        """Return the steps of a request; none where it is not known.
+        """Return the steps of a request; empty where it is unknown.
 
         The id may carry the token of a stream.
         """
--- a/packages/loomyard-router/src/loomyard_router/requests/pending_resumes.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/pending_resumes.py
@@ -1,4 +1,4 @@
-"""Streams that are kept for a while after their callers went."""
+"""Interrupted streams that their callers may still resume."""
 
 from __future__ import annotations
 
@@ -19,44 +19,44 @@
 
 
 class PendingResumes:
-    """Cancel the work of a stream only when its caller has not resumed within some seconds."""
+    """Wait up to ``seconds`` for a caller to resume its stream before the work is cancelled."""
 
     def __init__(self, clock: Clock, peers: PeerLinks, router: str, *, seconds: float) -> None:
         self.router = router
         self._clock = clock
         self._peers = peers
         self._seconds = seconds
-        self._taken: OrderedDict[str, None] = OrderedDict()
-        self._held: dict[str, Callable[[bool], None]] = {}
-        peers.handle(StreamTaken, lambda _, message: self.take(message.attempt_id))
+        self._resumed: OrderedDict[str, None] = OrderedDict()
+        self._pending: dict[str, Callable[[bool], None]] = {}
+        peers.handle(StreamTaken, lambda _, message: self.record_resumed(message.attempt_id))
 
-    def hold(self, attempt_id: str, end: Callable[[bool], None]) -> None:
-        """Call back with whether the stream was taken, at the latest when the time is over."""
-        if attempt_id in self._taken:
+    def add(self, attempt_id: str, end: Callable[[bool], None]) -> None:
+        """Call ``end`` with whether the stream was resumed, at the latest after ``seconds``."""
+        if attempt_id in self._resumed:
             end(True)
             return
-        self._held[attempt_id] = end
+        self._pending[attempt_id] = end
         gevent.spawn(self._expire, attempt_id)
 
-    def take(self, attempt_id: str) -> None:
-        """Take in that the caller went on with a stream, here or at another router."""
-        self._taken[attempt_id] = None
-        while len(self._taken) > REMEMBERED_ATTEMPTS:
-            self._taken.popitem(last=False)
-        self._end(attempt_id, taken=True)
+    def record_resumed(self, attempt_id: str) -> None:
+        """Record that the caller resumed a stream, here or at another router."""
+        self._resumed[attempt_id] = None
+        while len(self._resumed) > REMEMBERED_ATTEMPTS:
+            self._resumed.popitem(last=False)
+        self._end(attempt_id, resumed=True)
 
-    def take_over(self, attempt_id: str, router: str) -> None:
-        """Tell the router that served a stream that its caller goes on here."""
+    def notify_resumed(self, attempt_id: str, router: str) -> None:
+        """Notify the router that served a stream that its caller resumes it here."""
         if router == self.router:
-            self.take(attempt_id)
+            self.record_resumed(attempt_id)
         else:
             self._peers.send(router, StreamTaken(attempt_id=attempt_id))
 
     def _expire(self, attempt_id: str) -> None:
         self._clock.sleep(self._seconds)
-        self._end(attempt_id, taken=False)
+        self._end(attempt_id, resumed=False)
 
-    def _end(self, attempt_id: str, *, taken: bool) -> None:
-        end = self._held.pop(attempt_id, None)
+    def _end(self, attempt_id: str, *, resumed: bool) -> None:
+        end = self._pending.pop(attempt_id, None)
         if end is not None:
-            end(taken)
+            end(resumed)
--- a/packages/loomyard-router/src/loomyard_router/requests/request.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/request.py
@@ -1,4 +1,4 @@
-"""A caller's request."""
+"""A caller's request to a service."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     ``deadline`` is in seconds of the monotonic clock; ``key`` is the caller's idempotency key;
     ``cost_hint`` is in units of the service. ``usage_asked`` tells whether the caller wants the
     usage event of a stream; ``deadline_asked`` whether the caller set the deadline, which then
-    bounds the whole answer and not its begin only.
+    bounds the whole answer instead of its start only.
     """
 
     request_id: str
--- a/packages/loomyard-router/src/loomyard_router/requests/request_pipeline.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/request_pipeline.py
@@ -1,4 +1,4 @@
-"""The way of a request: claim, queue, slot, target, answer."""
+"""Pipeline of a request: claim, queue, slot, attempts, answer."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from loomyard_router.requests.slot_queue import SlotQueue, deadline_fault, stopping_fault
 from loomyard_router.requests.stream_answers import StreamAnswer
 from loomyard_router.requests.whole_answers import (
-    hold_whole,
-    not_kept_fault,
-    pass_whole,
+    body_not_recorded_fault,
+    make_answer,
+    read_whole,
     replay,
 )
 
@@ -42,7 +42,7 @@
 
 
 class RequestPipeline:
-    """Serve requests of callers."""
+    """Serve requests of client accounts, from the claim to the answer."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         self._claims = claims
         self._engine = engine
         self._journal = journal
-        self._resuming = stream_resumer
+        self._resumer = stream_resumer
         self._meters = meters
         self._retries = retries or Retries(clock)
         self._queue = SlotQueue(
@@ -87,7 +87,7 @@
         return self._queue.backlog
 
     def stop(self) -> None:
-        """Take no new work and refuse what waits; what runs goes on."""
+        """Refuse new and queued requests; running ones go on."""
         self._queue.stop()
 
     def serve(self, request: Request) -> Result[Answer, Fault]:
@@ -110,21 +110,21 @@
                     answer = self._run(request, run)
                     if not run.lost:
                         return answer
-                    # Another request with the key was first: wait for what it comes to.
+                    # Another request with this key was first: the next claim waits for its outcome.
 
     def _replay(self, request: Request, outcome: RecordedOutcome) -> Result[Answer, Fault]:
         if outcome.body is None:
-            return self._refuse(request, not_kept_fault(outcome))
+            return self._refuse(request, body_not_recorded_fault(outcome))
         self._journal.record(request.request_id, Step.ANSWERED, "the recorded outcome")
         return Ok(replay(outcome))
 
     def _run(self, request: Request, run: ClaimedRun) -> Result[Answer, Fault]:
-        certain = True
+        nothing_ran = True
         try:
-            avoided: set[str] = set()
+            excluded: set[str] = set()
             number = 1
             while True:
-                match self._attempt(request, run, number, avoided):
+                match self._attempt(request, run, number, excluded):
                     case Ok(answer):
                         self._journal.record(request.request_id, Step.ANSWERED)
                         return Ok(answer)
@@ -132,11 +132,11 @@
                         pass
                 if run.lost:
                     return Err(failed.fault)
-                certain = certain and failed.fault.executed is Executed.NO
-                final = self._retries.refuse(request, failed, number)
+                nothing_ran = nothing_ran and failed.fault.executed is Executed.NO
+                final = self._retries.check(request, failed, number)
                 if final is not None:
-                    return self._give_up(request, run, final, certain)
-                avoided.add(failed.target or "")
+                    return self._fail(request, run, final, nothing_ran)
+                excluded.add(failed.target or "")
                 self._journal.record(request.request_id, Step.RETRIED, failed.fault.detail)
                 self._retries.wait(request, number)
                 number += 1
@@ -145,17 +145,17 @@
             raise
 
     def _attempt(
-        self, request: Request, run: ClaimedRun, number: int, avoided: set[str]
+        self, request: Request, run: ClaimedRun, number: int, excluded: set[str]
     ) -> Result[Answer, FailedAttempt]:
         queued_at = self._clock.now()
-        taken = self._queue.take(request, avoided)
+        acquired = self._queue.acquire(request, excluded)
         self._record(request, Phase.QUEUE, queued_at)
-        if taken.is_err():
-            return Err(FailedAttempt(fault=taken.unwrap_err()))
-        admission = taken.unwrap()
+        if acquired.is_err():
+            return Err(FailedAttempt(fault=acquired.unwrap_err()))
+        admission = acquired.unwrap()
         target = admission.target.metadata.name
         if number == 1:
-            self._retries.deposit(request.account.metadata.name, target)
+            self._retries.record_request(request.account.metadata.name, target)
         self._journal.record(request.request_id, Step.ADMITTED, target)
         sent = self._sender.send(request, admission, run, number)
         answered = sent.and_then(lambda attempt: self._begin_answer(request, attempt, run))
@@ -172,22 +172,22 @@
                     request=request,
                     attempt=attempt,
                     run=run,
-                    resuming=self._resuming,
+                    resuming=self._resumer,
                     meters=self._meters,
                 )
                 return stream.begin().map(stream.answer)
-            held = hold_whole(request, attempt)
+            complete = read_whole(request, attempt)
             self._record(request, Phase.TOTAL, request.arrived_at)
-            return held.map(lambda whole: pass_whole(request, attempt, run, whole=whole))
+            return complete.map(lambda whole: make_answer(request, attempt, run, whole=whole))
         except BaseException:
             attempt.answer.close()
             attempt.settlement.settle_uncertain()
             raise
 
-    def _give_up(
-        self, request: Request, run: ClaimedRun, fault: Fault, certain: bool
+    def _fail(
+        self, request: Request, run: ClaimedRun, fault: Fault, nothing_ran: bool
     ) -> Result[Answer, Fault]:
-        if certain:
+        if nothing_ran:
             run.abandon()
         else:
             run.finish(None)
--- a/packages/loomyard-router/src/loomyard_router/requests/retries.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/retries.py
@@ -1,4 +1,4 @@
-"""Whether and when a failed attempt is followed by another."""
+"""Policy that decides whether and when a failed attempt is retried."""
 
 from __future__ import annotations
 
@@ -40,28 +40,28 @@
 
 
 class Retries:
-    """Allow a retry only where nothing can run twice, within the budgets, at full jitter."""
+    """Allow retries only where nothing can run twice, within budgets, with full-jitter back-off."""
 
     def __init__(self, clock: Clock, *, spread: random.Random | None = None) -> None:
         self._clock = clock
-        self._spread = spread or random.Random()
+        self._rng = spread or random.Random()
         self._accounts = RetryBudget()
         self._targets = RetryBudget()
 
-    def deposit(self, account: str, target: str) -> None:
-        """Take in a first attempt."""
-        self._accounts.deposit(account)
-        self._targets.deposit(target)
+    def record_request(self, account: str, target: str) -> None:
+        """Credit the budgets of the account and the target with a first attempt."""
+        self._accounts.record_request(account)
+        self._targets.record_request(target)
 
-    def refuse(self, request: Request, failed: FailedAttempt, number: int) -> Fault | None:
-        """Return the final fault after an attempt, or ``None`` where another may follow."""
+    def check(self, request: Request, failed: FailedAttempt, number: int) -> Fault | None:
+        """Return the final fault of a request, or spend a retry and return ``None``."""
         fault = failed.fault
         if failed.target is None or fault.code not in ATTEMPT_CODES or number >= MAX_ATTEMPTS:
             return fault
         if fault.executed is not Executed.NO and not request.idempotent:
             return fault
         account = request.account.metadata.name
-        if not (self._accounts.has(account) and self._targets.has(failed.target)):
+        if not (self._accounts.has_retry(account) and self._targets.has_retry(failed.target)):
             detail = f"no retry is left after: {fault.detail} [{fault.code:d}]"
             return attrs.evolve(
                 fault,
@@ -69,12 +69,12 @@
                 detail=detail,
                 retry_after=BUDGET_RETRY_AFTER,
             )
-        self._accounts.take(account)
-        self._targets.take(failed.target)
+        self._accounts.spend(account)
+        self._targets.spend(failed.target)
         return None
 
     def wait(self, request: Request, number: int) -> None:
         """Wait before the next attempt, never past the deadline."""
         longest = min(MAX_DELAY, BASE_DELAY * 2**number)
-        left = max(0.0, request.deadline - self._clock.now())
-        self._clock.sleep(min(left, self._spread.uniform(0.0, longest)))
+        remaining = max(0.0, request.deadline - self._clock.now())
+        self._clock.sleep(min(remaining, self._rng.uniform(0.0, longest)))
--- a/packages/loomyard-router/src/loomyard_router/requests/retry_budget.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/retry_budget.py
@@ -1,4 +1,4 @@
-"""Budgets of retries, so that retries can't multiply the load."""
+"""Retry budgets, which keep retries from multiplying the load."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class RetryBudget:
-    """A token bucket for each key: a request brings a fraction of a token, a retry takes one.
+    """A token bucket for each key: a request adds a fraction of a token, a retry spends one.
 
-    ``most`` gives the size of a full bucket, which may change with the size of the fleet.
+    ``max_tokens`` returns the capacity of a bucket, which may change with the size of the fleet.
     """
 
     def __init__(
@@ -26,27 +26,27 @@
         max_tokens: Callable[[], float] = lambda: MAX_TOKENS,
     ) -> None:
         self._per_request = per_request
-        self._most = max_tokens
+        self._max_tokens = max_tokens
         self._tokens: OrderedDict[str, float] = OrderedDict()
 
-    def deposit(self, key: str) -> None:
-        """Take in a first attempt."""
-        self._put(key, self._level(key) + self._per_request)
+    def record_request(self, key: str) -> None:
+        """Credit the bucket of a key with a first attempt."""
+        self._store(key, self._level(key) + self._per_request)
 
-    def has(self, key: str) -> bool:
+    def has_retry(self, key: str) -> bool:
         """Tell whether a retry is left."""
         return self._level(key) >= 1.0
 
-    def take(self, key: str) -> None:
+    def spend(self, key: str) -> None:
         """Spend one retry."""
-        self._put(key, self._level(key) - 1.0)
+        self._store(key, self._level(key) - 1.0)
 
     def _level(self, key: str) -> float:
-        most = self._most()
-        return min(most, self._tokens.get(key, most))
+        limit = self._max_tokens()
+        return min(limit, self._tokens.get(key, limit))
 
-    def _put(self, key: str, level: float) -> None:
-        self._tokens[key] = min(self._most(), level)
+    def _store(self, key: str, level: float) -> None:
+        self._tokens[key] = min(self._max_tokens(), level)
         self._tokens.move_to_end(key)
         while len(self._tokens) > REMEMBERED_KEYS:
             self._tokens.popitem(last=False)
--- a/packages/loomyard-router/src/loomyard_router/requests/sender.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/sender.py
@@ -11,7 +11,7 @@
 from loomyard.errors import Executed, Fault, ResultCode
 from loomyard.events import Event, emit
 from loomyard.outside.engine import TargetCall
-from loomyard_router.requests.answer_check import check_answer, is_leaving, read_rest
+from loomyard_router.requests.answer_check import check_answer, is_leaving, read_backoff
 from loomyard_router.requests.attempt import Attempt
 from loomyard_router.requests.journal import Step
 from loomyard_router.requests.settlement import Settlement
@@ -32,7 +32,7 @@
 
 
 class Sender:
-    """Send an admitted request, and settle at once where no answer counts."""
+    """Send attempts of admitted requests, and settle those without a valid answer at once."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
             admission=admission,
         )
         try:
-            fault = self._hindrance(request, admission, run)
+            fault = self._find_fault(request, admission, run)
             if fault is not None:
                 settlement.settle_unused()
                 return Err(fault)
@@ -72,11 +72,11 @@
             settlement.settle_uncertain()
             raise
 
-    def _hindrance(self, request: Request, admission: Admission, run: ClaimedRun) -> Fault | None:
-        """Check all that may have changed while the request waited, last the time."""
+    def _find_fault(self, request: Request, admission: Admission, run: ClaimedRun) -> Fault | None:
+        """Check again what may have changed in the queue; the deadline last, after the claim."""
         name, service = admission.target.metadata.name, request.service.metadata.name
         if not self._targets.may_send(name, service):
-            detail = "the target takes no new work any more"
+            detail = "the target no longer takes new work"
             return Fault(code=ResultCode.TARGET_REFUSED, detail=detail)
         if self._clock.now() >= request.deadline:
             return deadline_fault()
@@ -96,7 +96,7 @@
         call = _make_call(request, admission, number)
         self._journal.record(request.request_id, Step.SENT, f"{call.attempt_id} to {name}")
         self._targets.record_prefix(name, request.prefix)
-        settlement.note_sent()
+        settlement.record_sent()
         with _CancelWhenGone(request, self._engine, call):
             opened = self._engine.open(call)
         if opened.is_err():
@@ -104,7 +104,7 @@
             return Err(self._fail(request, call, settlement, opened.unwrap_err()))
         answer = opened.unwrap()
         fault = check_answer(request, call, answer)
-        self._note_words(name, answer, fault)
+        self._report_notice(name, answer, fault)
         if fault is None or fault.code is not ResultCode.TARGET_REFUSED:
             self._targets.report_attempt(name, answered=fault is None)
         if fault is not None:
@@ -115,14 +115,14 @@
         )
         return Ok(attempt)
 
-    def _note_words(self, name: str, answer: TargetAnswer, fault: Fault | None) -> None:
-        """Take in what a target says of itself, which may stand in any answer."""
+    def _report_notice(self, name: str, answer: TargetAnswer, fault: Fault | None) -> None:
+        """Report that the target leaves, as any answer may say, or asks for back-off."""
         headers = {header.lower(): value for header, value in answer.headers}
         if is_leaving(headers):
             self._targets.report_leaving(name)
-        rest = read_rest(headers)
-        if fault is not None and fault.code is ResultCode.TARGET_REFUSED and rest:
-            self._targets.report_backoff(name, self._clock.now() + rest)
+        backoff = read_backoff(headers)
+        if fault is not None and fault.code is ResultCode.TARGET_REFUSED and backoff:
+            self._targets.report_backoff(name, self._clock.now() + backoff)
 
     def _fail(
         self, request: Request, call: TargetCall, settlement: Settlement, fault: Fault
--- a/packages/loomyard-router/src/loomyard_router/requests/settlement.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/settlement.py
@@ -1,4 +1,4 @@
-"""The cost of an attempt and the end of its slot."""
+"""Settlement of an attempt: its cost is charged and its slot freed."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Settlement:
-    """Finish an admission exactly once, at the cost of what ran."""
+    """Finish an admission exactly once, and charge what ran."""
 
     def __init__(
         self,
@@ -38,18 +38,18 @@
         self._sent_at = admission.admitted_at
         self._open = True
 
-    def note_sent(self) -> None:
-        """Count target time from now on; what the slot waited for before is not service."""
+    def record_sent(self) -> None:
+        """Start counting target time; the time that the slot was held before is not charged."""
         self._sent_at = self._clock.now()
 
     def charge(self, events: int) -> None:
-        """Charge what a stream has reached."""
+        """Raise the charge of a running stream to the events relayed so far."""
         if self._open:
             cost = token_cost(self._request.service, prompt=0, completion=events)
             self._policy.charge(self._admission, max(self._admission.charged, cost))
 
     def settle(self, usage: Usage | None, events: int = 0) -> None:
-        """Settle to the tokens that the target counted, or to what passed."""
+        """Settle at the tokens that the target counted, or else at an estimate of them."""
         if not self._open:
             return
         cost = self._cost(usage, events)
@@ -57,12 +57,12 @@
         self._finish(cost)
 
     def settle_uncertain(self) -> None:
-        """Settle at the charge so far, as nobody knows what ran."""
+        """Settle at the charge so far, as it is unknown what ran."""
         if self._open:
             self._finish(self._admission.charged)
 
     def settle_unused(self) -> None:
-        """Settle at nothing, as nothing ran."""
+        """Settle at zero, as nothing ran."""
         if self._open:
             self._finish(0.0)
 
--- a/packages/loomyard-router/src/loomyard_router/requests/slot_queue.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/slot_queue.py
@@ -1,4 +1,4 @@
-"""Waiting for a slot."""
+"""Queue of requests that wait for a slot."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 
 
 @frozen(eq=False)
-class _Need:
-    """A request that waits and the targets that failed it, which others go before."""
+class _QueuedRequest:
+    """A queued request and the targets that failed it, which are used only if no other is left."""
 
     request: Request
-    avoided: set[str]
+    excluded: set[str]
 
 
 class SlotQueue:
-    """Queue requests with the share policy until each has a slot or its final answer."""
+    """Queue requests with the share policy until each has a slot or a fault."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self._policy = policy
         self._targets = targets
         self._estimates = estimates
-        self._waiting: dict[WaitingRequest, _Need] = {}
+        self._waiting: dict[WaitingRequest, _QueuedRequest] = {}
         self._stopping = False
         self._backlog = LocalBacklog(clock)
         targets.subscribe(self._retarget)
@@ -66,13 +66,13 @@
         return self._backlog
 
     def stop(self) -> None:
-        """Refuse all that waits and all that comes."""
+        """Refuse all queued and new requests."""
         self._stopping = True
         for waiting in list(self._waiting):
-            self._give_up(waiting, stopping_fault())
+            self._abort(waiting, stopping_fault())
 
-    def take(self, request: Request, avoided: set[str]) -> Result[Admission, Fault]:
-        """Wait for a slot, at a target that is not avoided where there is one.
+    def acquire(self, request: Request, excluded: set[str]) -> Result[Admission, Fault]:
+        """Wait for a slot, at an excluded target only if there is no other.
 
         Errors: all codes of 2xxx, ``UNKNOWN_SERVICE``, ``NO_ROUTE``, ``NO_TARGET``,
         ``DEADLINE_PASSED``, ``CALLER_GONE``.
@@ -81,16 +81,18 @@
             return Err(stopping_fault())
         if self._clock.now() >= request.deadline:
             return Err(deadline_fault())
-        targets = self._candidates(request, avoided)
+        targets = self._candidates(request, excluded)
         if targets.is_err():
             return Err(targets.unwrap_err())
         waiting = self._make_waiting(request, targets.unwrap())
         submitted = self._policy.submit(waiting)
         if submitted.is_err():
             return Err(submitted.unwrap_err())
-        return self._await(_Need(request, avoided), waiting)
+        return self._wait(_QueuedRequest(request, excluded), waiting)
 
-    def _candidates(self, request: Request, avoided: set[str]) -> Result[tuple[Target, ...], Fault]:
+    def _candidates(
+        self, request: Request, excluded: set[str]
+    ) -> Result[tuple[Target, ...], Fault]:
         service = request.service.metadata.name
         resolved = self._follower.routing.resolve(request.account, service)
         if resolved.is_err():
@@ -101,11 +103,11 @@
             self._backlog.record_refusal(service)
             fault = Fault(
                 code=ResultCode.NO_TARGET,
-                detail="no target of the route takes new work now",
+                detail="no target of the route takes new requests now",
                 retry_after=NO_TARGET_RETRY_AFTER,
             )
             return Err(fault)
-        untried = [t for t in usable if t.metadata.name not in avoided]
+        untried = [t for t in usable if t.metadata.name not in excluded]
         return Ok(tuple(untried or usable))
 
     def _make_waiting(self, request: Request, targets: tuple[Target, ...]) -> WaitingRequest:
@@ -121,59 +123,59 @@
         )
 
     def _retarget(self) -> None:
-        """Let what waits go to the targets of now; refuse it where there is none."""
+        """Update the targets of queued requests; refuse those that have none left."""
         shared: dict[tuple[str, str], Result[tuple[Target, ...], Fault]] = {}
-        for waiting, need in list(self._waiting.items()):
+        for waiting, queued in list(self._waiting.items()):
             if waiting.admitted.ready():
                 continue
             key = waiting.account.metadata.name, waiting.service.metadata.name
-            found = None if need.avoided else shared.get(key)
+            found = None if queued.excluded else shared.get(key)
             if found is None:
-                found = self._candidates(need.request, need.avoided)
-            if not need.avoided:
+                found = self._candidates(queued.request, queued.excluded)
+            if not queued.excluded:
                 shared[key] = found
             match found:
                 case Ok(targets):
                     if targets != waiting.targets:
                         waiting.retarget(targets)
                 case Err(fault):
-                    self._give_up(waiting, fault)
+                    self._abort(waiting, fault)
 
-    def _await(self, need: _Need, waiting: WaitingRequest) -> Result[Admission, Fault]:
-        def leave() -> None:
-            self._give_up(waiting, gone_fault())
+    def _wait(self, queued: _QueuedRequest, waiting: WaitingRequest) -> Result[Admission, Fault]:
+        def abort() -> None:
+            self._abort(waiting, gone_fault())
 
         service = waiting.service.metadata.name
-        self._waiting[waiting] = need
+        self._waiting[waiting] = queued
         self._backlog.add_waiting(service)
-        need.request.presence.subscribe(leave)
+        queued.request.presence.subscribe(abort)
         try:
             with Timeout(max(0.0, waiting.deadline - self._clock.now()), False):
-                return _read(waiting)
+                return _result_of(waiting)
             if not self._policy.withdraw(waiting):
-                return _read(waiting)
+                return _result_of(waiting)
         except BaseException:
             self._policy.withdraw(waiting)
             raise
         finally:
             self._waiting.pop(waiting, None)
             self._backlog.remove_waiting(service)
-            need.request.presence.unsubscribe(leave)
+            queued.request.presence.unsubscribe(abort)
         return Err(
             Fault(
                 code=ResultCode.QUEUE_TIMEOUT,
-                detail="no slot came free before the deadline",
+                detail="no slot became free before the deadline",
                 retry_after=QUEUE_TIMEOUT_RETRY_AFTER,
             )
         )
 
-    def _give_up(self, waiting: WaitingRequest, fault: Fault) -> None:
+    def _abort(self, waiting: WaitingRequest, fault: Fault) -> None:
         if not waiting.admitted.ready() and self._policy.withdraw(waiting):
             waiting.admitted.set(fault)
 
 
 def stopping_fault() -> Fault:
-    """Return the fault of a request that comes while the router stops."""
+    """Return the fault of a request that arrives or waits while the router stops."""
     return Fault(
         code=ResultCode.STOPPING,
         detail="this router is stopping",
@@ -182,7 +184,7 @@
 
 
 def deadline_fault() -> Fault:
-    """Return the fault of a request that is too late."""
+    """Return the fault of a request whose deadline has passed."""
     return Fault(code=ResultCode.DEADLINE_PASSED, detail="the deadline has passed")
 
 
@@ -191,6 +193,6 @@
     return Fault(code=ResultCode.CALLER_GONE, detail="the caller has gone")
 
 
-def _read(waiting: WaitingRequest) -> Result[Admission, Fault]:
+def _result_of(waiting: WaitingRequest) -> Result[Admission, Fault]:
     admitted = waiting.admitted.get()
     return Err(admitted) if isinstance(admitted, Fault) else Ok(admitted)
--- a/packages/loomyard-router/src/loomyard_router/requests/stream_answers.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/stream_answers.py
@@ -1,4 +1,4 @@
-"""Answers that are streamed as events."""
+"""Relay of answers that are streamed as events."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class StreamAnswer:
-    """One stream from engine to caller."""
+    """Relay one stream of events from an engine to its caller."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         self._request = request
         self._attempt = attempt
         self._run = run
-        self._resuming = resuming
+        self._resumer = resuming
         self._meters = meters
         self._stream = EventStream(drop_usage=not request.usage_requested)
         self._relay = StreamRelay(attempt.answer, self._stream, self._resume)
@@ -77,13 +77,13 @@
         return begun
 
     def answer(self, first: bytes) -> Answer:
-        """Return the answer that goes on from the first events."""
+        """Return the answer, whose body begins with the first events."""
         headers = [("Content-Type", EVENT_STREAM_TYPE), ("Cache-Control", "no-store")]
         return Answer(
             status=self._attempt.answer.status,
             headers=headers,
-            body=Body(self._blocks(first), self._leave),
-            request_id=self._resuming.name_stream(self._request, self._attempt),
+            body=Body(self._blocks(first), self._on_close),
+            request_id=self._resumer.make_resumable_id(self._request, self._attempt),
         )
 
     def _blocks(self, first: bytes) -> Generator[bytes, None, None]:
@@ -149,8 +149,8 @@
         else:
             self._run.finish(None)
 
-    def _leave(self) -> None:
-        """End the answer; where only the caller has gone, it may come back for the rest."""
+    def _on_close(self) -> None:
+        """End the answer; a caller that has gone before its end may resume the stream."""
         if self._stream.done or self._failed:
             self._close()
             return
@@ -158,11 +158,11 @@
         self._relay.close()
         attempt_id = self._attempt.call.attempt_id
         emit(logger, Event.CALLER_GONE, attempt=attempt_id)
-        self._resuming.holds.hold(attempt_id, self._end_hold)
+        self._resumer.pending.add(attempt_id, self._end_pending)
 
-    def _end_hold(self, taken: bool) -> None:
+    def _end_pending(self, resumed: bool) -> None:
         self._settle()
-        if not taken:
+        if not resumed:
             self._cancel()
 
     def _close(self) -> None:
--- a/packages/loomyard-router/src/loomyard_router/requests/stream_resumer.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/stream_resumer.py
@@ -1,4 +1,4 @@
-"""Streams that callers resume, at any router."""
+"""Resuming of streams by their callers, at any router."""
 
 from __future__ import annotations
 
@@ -41,9 +41,9 @@
 
 
 class StreamResumer:
-    """Name streams so that they can be resumed, and resume them.
+    """Issue request ids under which streams can be resumed, and resume them.
 
-    A resumed stream takes no slot: its work runs at the engine already, or is over.
+    A resumed stream takes no slot, as its work runs at the engine already or is done.
     """
 
     def __init__(
@@ -55,13 +55,13 @@
         tokens: StreamTokens,
         pending: PendingResumes,
     ) -> None:
-        self.holds = pending
+        self.pending = pending
         self._clock = clock
         self._follower = follower
         self._engine = engine
         self._tokens = tokens
 
-    def name_stream(self, request: Request, attempt: Attempt) -> str:
+    def make_resumable_id(self, request: Request, attempt: Attempt) -> str:
         """Return the request id under which the caller can resume."""
         return self._tokens.sign(
             StreamToken(
@@ -69,7 +69,7 @@
                 account=request.account.metadata.name,
                 target=attempt.target,
                 number=attempt.number,
-                router=self.holds.router,
+                router=self.pending.router,
                 usage_asked=request.usage_requested,
             )
         )
@@ -104,8 +104,10 @@
     ) -> Result[Answer, Fault]:
         target = self._follower.routing.targets.get(token.target)
         if target is None:
-            return Err(_uncertain(ResultCode.STREAM_GONE, "the target is no longer configured"))
-        self.holds.take_over(token.attempt_id, token.router)
+            return Err(
+                _uncertain_fault(ResultCode.STREAM_GONE, "the target is no longer configured")
+            )
+        self.pending.notify_resumed(token.attempt_id, token.router)
         call = TargetCall(
             attempt_id=token.attempt_id,
             url=target.url,
@@ -116,12 +118,12 @@
         opened = self._engine.resume(call, after)
         if opened.is_err():
             fault = opened.unwrap_err()
-            return Err(_uncertain(fault.code, fault.detail))
+            return Err(_uncertain_fault(fault.code, fault.detail))
         answer = opened.unwrap()
         if answer.attempt_id not in ("", token.attempt_id):
             answer.close()
             detail = "the answer is for another attempt"
-            return Err(_uncertain(ResultCode.ANSWER_INVALID, detail))
+            return Err(_uncertain_fault(ResultCode.ANSWER_INVALID, detail))
         emit(logger, Event.CALLER_RESUMED, attempt=token.attempt_id, after=after)
         stream = EventStream(drop_usage=not token.usage_asked, after=after)
         relay = StreamRelay(answer, stream, lambda at: self._engine.resume(call, at))
@@ -144,5 +146,5 @@
     relay.finish()
 
 
-def _uncertain(code: ResultCode, detail: str) -> Fault:
+def _uncertain_fault(code: ResultCode, detail: str) -> Fault:
     return Fault(code=code, detail=detail, executed=Executed.UNKNOWN)
--- a/packages/loomyard-router/src/loomyard_router/requests/stream_taken.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/stream_taken.py
@@ -1,4 +1,4 @@
-"""The message that another router goes on with a stream."""
+"""Message to the router that served a stream: its caller resumed it at another one."""
 
 from __future__ import annotations
 
@@ -7,6 +7,6 @@
 
 @frozen(kw_only=True)
 class StreamTaken:
-    """The attempt whose caller resumed at the sender."""
+    """The attempt whose stream was resumed at the sending router."""
 
     attempt_id: str
--- a/packages/loomyard-router/src/loomyard_router/requests/stream_token.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/stream_token.py
@@ -1,4 +1,4 @@
-"""Request ids that tell any router where a stream runs."""
+"""Signed tokens in request ids, from which any router learns where a stream runs."""
 
 from __future__ import annotations
 
@@ -34,9 +34,9 @@
 
 
 class StreamTokens:
-    """Sign and read tokens; the first secret signs, each of them is accepted.
+    """Sign and verify tokens; the first secret signs, a signature by any of them is accepted.
 
-    Without a secret of the fleet, only this start of this router knows its own tokens.
+    Without a fleet secret a random one is made, so that tokens hold for this process only.
     """
 
     def __init__(self, secrets: tuple[str, ...]) -> None:
@@ -52,7 +52,7 @@
         return f"{token.request_id}{SEPARATOR}{_to_text(mac + payload)}"
 
     def read(self, text: str) -> StreamToken | None:
-        """Return the token of a request id; ``None`` where it is not one of this fleet."""
+        """Return the token of a request id; ``None`` where it has none with a valid signature."""
         request_id, _, encoded = text.partition(SEPARATOR)
         if len(text) > MAX_LENGTH or not text.isascii():
             return None
@@ -61,8 +61,8 @@
         except ValueError:
             return None
         mac, payload = data[:MAC_LENGTH], data[MAC_LENGTH:]
-        good = [hmac.compare_digest(mac, _mac(key, request_id, payload)) for key in self._keys]
-        if not any(good):
+        valid = [hmac.compare_digest(mac, _mac(key, request_id, payload)) for key in self._keys]
+        if not any(valid):
             return None
         account, target, number, router, usage_asked = json.loads(payload)
         return StreamToken(
--- a/packages/loomyard-router/src/loomyard_router/requests/whole_answers.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/whole_answers.py
@@ -1,4 +1,4 @@
-"""Answers that are passed on whole."""
+"""Answers that are read up to a limit before they are relayed."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
     from loomyard_router.requests.claimed_run import ClaimedRun
     from loomyard_router.requests.request import Request
 
-HELD_BYTES = 1 << 20
-RECORDED_BYTES = 1 << 16
+MAX_BUFFERED_BYTES = 1 << 20
+MAX_RECORDED_BYTES = 1 << 16
 JSON_TYPE = "application/json"
 
 
 class AnswerBrokenError(Exception):
-    """An answer broke off after a part of it was passed on; the connection must end."""
+    """An answer broke off after part of it was relayed; the caller's connection must be closed."""
 
 
-def hold_whole(request: Request, attempt: Attempt) -> Result[bool, Fault]:
-    """Read an answer up to a bound and check it; true where all of it was read.
+def read_whole(request: Request, attempt: Attempt) -> Result[bool, Fault]:
+    """Read an answer up to ``MAX_BUFFERED_BYTES``, check it and return whether that was all.
 
-    An event stream of a plain service is not held.
+    An event stream of a plain service is relayed unread.
 
     Errors: ``ANSWER_INCOMPLETE``, ``ANSWER_INVALID``; the attempt is settled then.
     """
-    if _type(attempt.answer.headers).startswith(EVENT_STREAM_TYPE):
+    if _content_type(attempt.answer.headers).startswith(EVENT_STREAM_TYPE):
         return Ok(False)
     match _collect(attempt.answer):
         case Ok((body, whole)):
@@ -56,14 +56,14 @@
     return Ok(True)
 
 
-def pass_whole(request: Request, attempt: Attempt, run: ClaimedRun, *, whole: bool) -> Answer:
-    """Pass a held answer on, and the rest of one that is longer than what is held."""
+def make_answer(request: Request, attempt: Attempt, run: ClaimedRun, *, whole: bool) -> Answer:
+    """Return the answer to the caller; the rest of a long one is relayed as it arrives."""
     status, headers = attempt.answer.status, attempt.answer.headers
     if whole:
-        body = attempt.first if len(attempt.first) <= RECORDED_BYTES else None
-        run.finish(RecordedOutcome(status=status, content_type=_type(headers), body=body))
+        body = attempt.first if len(attempt.first) <= MAX_RECORDED_BYTES else None
+        run.finish(RecordedOutcome(status=status, content_type=_content_type(headers), body=body))
         return Answer(status=status, headers=headers, body=[attempt.first])
-    outcome = RecordedOutcome(status=status, content_type=_type(headers), body=None)
+    outcome = RecordedOutcome(status=status, content_type=_content_type(headers), body=None)
 
     def end() -> None:
         attempt.answer.close()
@@ -74,16 +74,16 @@
 
 
 def replay(outcome: RecordedOutcome) -> Answer:
-    """Answer with a recorded outcome."""
+    """Return the answer that was recorded for the key."""
     headers = [("Content-Type", outcome.content_type), ("Loomyard-Replayed", "1")]
     return Answer(status=outcome.status, headers=headers, body=[outcome.body or b""])
 
 
-def not_kept_fault(outcome: RecordedOutcome) -> Fault:
+def body_not_recorded_fault(outcome: RecordedOutcome) -> Fault:
     """Return the fault of a repeat whose recorded outcome has no body."""
     return Fault(
         code=ResultCode.BODY_NOT_KEPT,
-        detail=f"it ran and was answered with status {outcome.status}; the body was not kept",
+        detail=f"the request ran, with status {outcome.status}; the answer's body was not recorded",
         executed=Executed.YES,
     )
 
@@ -91,7 +91,7 @@
 def _collect(answer: TargetAnswer) -> Result[tuple[bytes, bool], Fault]:
     blocks: list[bytes] = []
     size = 0
-    while size <= HELD_BYTES:
+    while size <= MAX_BUFFERED_BYTES:
         match answer.read():
             case Err(fault):
                 return Err(fault)
@@ -128,5 +128,5 @@
     return Err(fault)
 
 
-def _type(headers: list[tuple[str, str]]) -> str:
+def _content_type(headers: list[tuple[str, str]]) -> str:
     return next((v for n, v in headers if n.lower() == "content-type"), JSON_TYPE)
--- a/packages/loomyard-router/src/loomyard_router/routed/forwarder.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/forwarder.py
@@ -88,7 +88,7 @@
         Errors: those of ``AdmissionGate.acquire`` and ``AttemptSender.send``; ``executed`` tells
         whether it may have run at any target.
         """
-        self._retry_budget.deposit(request.service)
+        self._retry_budget.record_request(request.service)
         opened = self.open(request, avoided=frozenset(), last_event=request.head.last_event)
         if opened.is_err():
             return Err(opened.unwrap_err())
@@ -161,7 +161,7 @@
                     crash_check.join()
             avoided = avoided | {permit.target.incarnation}
             if attempts:
-                self._retry_budget.take(request.service)
+                self._retry_budget.spend(request.service)
 
     def close(self, request: RoutedRequest, exchange: Exchange) -> None:
         """Release the slot and the connection of an exchange, complete or not."""
@@ -172,10 +172,10 @@
         self, request: RoutedRequest, broken: SlotPermit, *, last_event: str
     ) -> Result[tuple[Exchange, bytes, bool], Fault]:
         """Resume a broken stream at another target, if the retry budget allows."""
-        if not self._retry_budget.has(request.service):
+        if not self._retry_budget.has_retry(request.service):
             detail = "the retry budget is spent"
             return Err(Fault(code=ResultCode.RETRY_BUDGET_SPENT, detail=detail))
-        self._retry_budget.take(request.service)
+        self._retry_budget.spend(request.service)
         return self.open(
             request, avoided=frozenset([broken.target.incarnation]), last_event=last_event
         )
@@ -274,7 +274,7 @@
         return (
             attempts < request.route.max_attempts
             and self._clock.now() < request.deadline
-            and self._retry_budget.has(request.service)
+            and self._retry_budget.has_retry(request.service)
         )
 
     def _final_fault(self, fault: Fault, executed: Executed) -> Fault:
--- a/tests/test_loomyard_router/test_queued_requests.py
+++ b/tests/test_loomyard_router/test_queued_requests.py
@@ -1,4 +1,4 @@
-"""Tests of requests that wait while their targets change."""
+"""Tests of queued requests whose targets change."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
         self.assertIs(saw.ending, Ending.OPEN)
         return saw
 
-    def test_a_target_that_comes_takes_what_waits(self) -> None:
+    def test_a_new_target_serves_queued_requests(self) -> None:
         saw = self.queue()
         self.fleet.publisher.publish([make_target_object(self.fleet.engines[1])])
         self.fleet.run(3.0)
         self.assertEqual((saw.ending, saw.status), (Ending.WHOLE, 200))
 
-    def test_what_waits_is_refused_when_no_target_is_left(self) -> None:
+    def test_queued_requests_are_refused_when_no_target_is_left(self) -> None:
         saw = self.queue()
         leaving = make_target_object(self.fleet.engines[0])
         self.fleet.publisher.replace(evolve(leaving, state=TargetState.LEAVING))
--- a/tests/test_loomyard_router/test_requests/serving_case.py
+++ b/tests/test_loomyard_router/test_requests/serving_case.py
@@ -1,4 +1,4 @@
-"""What tests of the way of a request share."""
+"""Test case with a request pipeline, scripted targets and recorded claims."""
 
 from __future__ import annotations
 
@@ -36,15 +36,15 @@
     from loomyard_standins.scripted_target import ReceivedCall
 
 
-class AtOnce(random.Random):
-    """Wait not at all between attempts."""
+class NoBackOff(random.Random):
+    """Random numbers that make every back-off zero."""
 
     def uniform(self, a: float, b: float) -> float:
         return a
 
 
 class ClaimRecorder:
-    """Grant every claim and note what follows."""
+    """Claim keeper that grants every claim and records the steps that follow."""
 
     def __init__(self) -> None:
         self.steps: list[object] = []
@@ -111,7 +111,7 @@
             engine=engine,
             estimates=CostEstimates(),
             journal=Journal(self.clock),
-            retries=Retries(self.clock, spread=AtOnce()),
+            retries=Retries(self.clock, spread=NoBackOff()),
         )
 
     def change(self) -> Change:
--- a/tests/test_loomyard_router/test_requests/test_resuming.py
+++ b/tests/test_loomyard_router/test_requests/test_resuming.py
@@ -1,4 +1,4 @@
-"""Tests of streams that are resumed at other routers, over HTTP."""
+"""Tests of resuming streams at the same or another router, over HTTP."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         path = f"/v1/streams/{request_id}"
         return self.ask(router, "GET", path, Last_Event_ID=str(last), **headers)
 
-    def test_any_router_gives_exactly_the_rest(self) -> None:
+    def test_any_router_sends_exactly_the_remaining_events(self) -> None:
         response = self.begin()
         whole = plain(response["loomyard-request-id"], bytes(response.read()))
         for router in (0, 1):
@@ -51,7 +51,7 @@
         response = self.resume(1, request_id, TOKENS)
         self.assertEqual(bytes(response.read()).count(b"\n\n"), 1)
 
-    def test_strangers_get_nothing(self) -> None:
+    def test_other_accounts_and_forged_ids_are_refused(self) -> None:
         request_id = self.begin()["loomyard-request-id"]
         flipped = request_id[:-2] + ("A" if request_id[-2] != "A" else "B") + request_id[-1]
         forged = StreamTokens(("other secret",)).sign(
@@ -82,10 +82,10 @@
         self.assertEqual((response.status_code, details["code"]), (410, 3007))
         self.assertEqual((details["executed"], details["retry_safe"]), ("unknown", False))
 
-    def test_work_is_cancelled_only_for_callers_that_stay_away(self) -> None:
-        holds = self.fleet.routers[0].callers._stream_resumer.holds
-        holds._seconds = 0.0
-        self.addCleanup(setattr, holds, "_seconds", 5.0)
+    def test_work_is_cancelled_for_a_caller_that_does_not_resume(self) -> None:
+        pending = self.fleet.routers[0].callers._stream_resumer.pending
+        pending._seconds = 0.0
+        self.addCleanup(setattr, pending, "_seconds", 5.0)
         response = self.begin()
         response.readline(b"\n\n")
         attempt = response["loomyard-request-id"].partition("~")[0] + ".1"
@@ -97,7 +97,7 @@
 
 
 def plain(request_id: str, data: bytes) -> bytes:
-    """Return a stream without what differs between requests."""
+    """Return a stream with the request id, which differs between requests, replaced."""
     return data.replace(request_id.partition("~")[0].encode(), b"ID")
 
 
--- a/tests/test_loomyard_router/test_requests/test_serving.py
+++ b/tests/test_loomyard_router/test_requests/test_serving.py
@@ -1,4 +1,4 @@
-"""Tests of the way of a request, judged by what the targets and the caller saw."""
+"""Tests of the request pipeline, checked at the targets and at the caller."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from gevent.event import Event
 
 from loomyard.errors import Executed, ResultCode
-from loomyard_router.requests.whole_answers import HELD_BYTES, AnswerBrokenError
+from loomyard_router.requests.whole_answers import MAX_BUFFERED_BYTES, AnswerBrokenError
 from loomyard_standins.scripted_target import answer_bytes
 from test_loomyard_router.test_requests.serving_case import ServingCase, answer_whole
 
@@ -23,7 +23,7 @@
 
 
 class ServingTest(ServingCase):
-    def test_what_a_target_says_of_itself_is_heard_in_any_answer(self) -> None:
+    def test_a_leaving_target_and_a_back_off_are_reported(self) -> None:
         self.script(lambda call, sock: sock.sendall(answer_bytes(call, b"{}", headers=LEAVING)))
         self.serve(idempotent=False, key="k").unwrap()
         self.assertEqual(1, len(self.left))
@@ -43,7 +43,7 @@
         self.assertEqual([step.body for step in self.claims.steps[2:]], [b'{"ok": 1}'])
         self.assert_slots_free()
 
-    def test_a_lost_answer_of_a_request_that_may_run_once_stays_unknown(self) -> None:
+    def test_the_outcome_of_a_non_idempotent_request_without_answer_stays_unknown(self) -> None:
         for lose in (hang_up, half_answer, half_head, other_attempt):
             with self.subTest(lose=lose.__name__):
                 self.claims.steps.clear()
@@ -55,7 +55,7 @@
                 self.assertEqual(self.claims.steps, ["claim", "begin", None])
                 self.assert_slots_free()
 
-    def test_what_was_refused_everywhere_is_certain_and_the_claim_goes_back(self) -> None:
+    def test_a_request_refused_by_all_targets_did_not_run_and_releases_its_claim(self) -> None:
         self.script(*[refuse(NOT_RUN)] * 9)
         fault = self.serve(idempotent=False, key="k").unwrap_err()
         self.assertEqual((fault.code, fault.executed), (ResultCode.TARGET_REFUSED, Executed.NO))
@@ -63,12 +63,12 @@
         self.assertEqual(self.claims.steps, ["claim", "begin", "abandon"])
         self.assert_slots_free()
 
-    def test_a_refusal_after_a_lost_answer_is_not_certain(self) -> None:
+    def test_a_refusal_after_a_lost_answer_leaves_the_outcome_unknown(self) -> None:
         self.script(hang_up, *[refuse(NOT_RUN)] * 9)
         self.assertIs(self.serve().unwrap_err().executed, Executed.UNKNOWN)
 
-    def test_a_long_answer_passes_and_one_that_breaks_off_ends_the_connection(self) -> None:
-        long = b"x" * (HELD_BYTES + 10)
+    def test_a_long_answer_is_relayed_and_a_broken_one_closes_the_connection(self) -> None:
+        long = b"x" * (MAX_BUFFERED_BYTES + 10)
         self.script(lambda call, sock: sock.sendall(answer_bytes(call, long)))
         answer = self.serve(idempotent=False, key="k").unwrap()
         self.assertEqual(b"".join(answer.body), long)
@@ -81,7 +81,7 @@
         answer.body.close()
         self.assert_slots_free()
 
-    def test_a_target_that_is_not_there_is_passed_over(self) -> None:
+    def test_an_unreachable_target_is_skipped(self) -> None:
         self.engines[0].stop()
         for _ in range(3):
             self.assertEqual(self.serve(idempotent=False).unwrap().status, 200)
@@ -93,22 +93,22 @@
         answer = self.serve(idempotent=True).unwrap()
         self.assertEqual(b"".join(answer.body), b'{"ok": 1}')
 
-    def test_a_deadline_is_checked_before_anything_is_sent(self) -> None:
+    def test_a_request_past_its_deadline_is_not_sent(self) -> None:
         request = self.make_request(idempotent=False, key="k")
         request.deadline = self.clock.now()
         fault = self.make_serving().serve(request).unwrap_err()
         self.assertEqual((fault.code, fault.executed), (ResultCode.DEADLINE_PASSED, Executed.NO))
         self.assertEqual((self.sent, self.claims.steps), (0, []))
 
-    def test_a_queued_request_is_given_up_at_once_by_a_stop_or_its_caller(self) -> None:
+    def test_a_stop_or_a_disconnect_ends_a_queued_request_at_once(self) -> None:
         hold = Event()
         self.script(*[lambda call, sock: hold.wait() and answer_whole(call, sock)] * 2)
         serving = self.make_serving()
         running = [gevent.spawn(serving.serve, self.make_request()) for _ in range(2)]
-        leaver, stopped = self.make_request(), self.make_request()
-        queued = [gevent.spawn(serving.serve, request) for request in (leaver, stopped)]
+        leaving, stopped = self.make_request(), self.make_request()
+        queued = [gevent.spawn(serving.serve, request) for request in (leaving, stopped)]
         gevent.sleep(0.01)
-        leaver.presence.mark_gone()
+        leaving.presence.mark_gone()
         self.assertEqual(queued[0].get().unwrap_err().code, ResultCode.CALLER_GONE)
         serving.stop()
         fault = queued[1].get().unwrap_err()
--- a/tests/test_loomyard_router/test_requests/test_serving_streams.py
+++ b/tests/test_loomyard_router/test_requests/test_serving_streams.py
@@ -1,4 +1,4 @@
-"""Tests of the way of a stream, judged by what the targets and the caller saw."""
+"""Tests of streams in the request pipeline, checked at the targets and at the caller."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         self.assert_slots_free()
         return data
 
-    def test_a_broken_stream_is_resumed_with_exactly_the_rest(self) -> None:
+    def test_a_broken_stream_is_resumed_with_exactly_the_remaining_events(self) -> None:
         whole = events(0, 6) + done(6)
         for broken, rest in (
             (events(0, 3), events(3, 6) + done(6)),
@@ -47,14 +47,14 @@
         self.assertIn(b'"code": "3006"', data)
         self.assertNotIn(b"[DONE]", data)
 
-    def test_a_stream_that_is_gone_is_started_again_only_while_nothing_was_passed_on(self) -> None:
+    def test_a_stream_unknown_to_the_engine_is_restarted_only_if_nothing_was_relayed(self) -> None:
         whole = events(0, 2) + done(2)
         self.assertEqual(self.stream(stream(b""), gone, stream(whole)), whole)
         data = self.stream(stream(events(0, 1)), gone, stream(whole))
         self.assertIn(b'"code": "3005"', data)
         self.assertNotIn(b"[DONE]", data)
 
-    def test_an_event_without_an_end_is_held_up_to_a_bound_only(self) -> None:
+    def test_an_endless_event_is_buffered_up_to_a_limit_only(self) -> None:
         endless = stream(b"data: " + b"x" * (2 * MAX_EVENT_LENGTH))
         self.script(*[endless] * MAX_ATTEMPTS)
         request = self.make_request("assistant", stream=True)
@@ -62,7 +62,7 @@
         self.assertIs(fault.code, ResultCode.ANSWER_INVALID)
         self.assert_slots_free()
 
-    def test_the_usage_event_reaches_only_callers_who_ask(self) -> None:
+    def test_the_usage_event_is_sent_only_to_callers_that_request_it(self) -> None:
         data = events(0, 2) + USAGE + done(3)
         self.assertEqual(self.stream(stream(data), usage_requested=True), data)
         kept = events(0, 2) + done(3)
--- a/tests/test_loomyard_router/test_requests/test_settlement.py
+++ b/tests/test_loomyard_router/test_requests/test_settlement.py
@@ -1,4 +1,4 @@
-"""Tests of the cost that a request is settled at."""
+"""Tests of the cost at which an attempt is settled."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
             admission=admission,
         )
         clock.advance(5.0)
-        settlement.note_sent()
+        settlement.record_sent()
         clock.advance(0.5)
         settlement.settle(None)
         self.assertEqual(admission.charged, 500.0)
