--- a/packages/loomyard-router/src/loomyard_router/requests/request_pipeline.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/request_pipeline.py
@@ -172,13 +172,13 @@
                     request=request,
                     attempt=attempt,
                     run=run,
-                    resuming=self._resumer,
+                    stream_resumer=self._resumer,
                     meters=self._meters,
                 )
                 return stream.begin().map(stream.answer)
-            complete = read_whole(request, attempt)
+            read = read_whole(request, attempt)
             self._record(request, Phase.TOTAL, request.arrived_at)
-            return complete.map(lambda whole: make_answer(request, attempt, run, whole=whole))
+            return read.map(lambda complete: make_answer(request, attempt, run, complete=complete))
         except BaseException:
             attempt.answer.close()
             attempt.settlement.settle_uncertain()
--- a/packages/loomyard-router/src/loomyard_router/requests/retries.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/retries.py
@@ -42,9 +42,9 @@
 class Retries:
     """Allow retries only where nothing can run twice, within budgets, with full-jitter back-off."""
 
-    def __init__(self, clock: Clock, *, spread: random.Random | None = None) -> None:
+    def __init__(self, clock: Clock, *, rng: random.Random | None = None) -> None:
         self._clock = clock
-        self._rng = spread or random.Random()
+        self._rng = rng or random.Random()
         self._accounts = RetryBudget()
         self._targets = RetryBudget()
 
--- a/packages/loomyard-router/src/loomyard_router/requests/retry_budget.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/retry_budget.py
@@ -38,7 +38,7 @@
         return self._level(key) >= 1.0
 
     def spend(self, key: str) -> None:
-        """Spend one retry."""
+        """Take one token from the bucket of a key."""
         self._store(key, self._level(key) - 1.0)
 
     def _level(self, key: str) -> float:
--- a/packages/loomyard-router/src/loomyard_router/requests/sender.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/sender.py
@@ -73,7 +73,7 @@
             raise
 
     def _find_fault(self, request: Request, admission: Admission, run: ClaimedRun) -> Fault | None:
-        """Check again what may have changed in the queue; the deadline last, after the claim."""
+        """Check again what may have changed while queued; the deadline last, as the claim waits."""
         name, service = admission.target.metadata.name, request.service.metadata.name
         if not self._targets.may_send(name, service):
             detail = "the target no longer takes new work"
--- a/packages/loomyard-router/src/loomyard_router/requests/stream_answers.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/stream_answers.py
@@ -47,7 +47,7 @@
         request: Request,
         attempt: Attempt,
         run: ClaimedRun,
-        resuming: StreamResumer,
+        stream_resumer: StreamResumer,
         meters: Meters,
     ) -> None:
         self._clock = clock
@@ -55,7 +55,7 @@
         self._request = request
         self._attempt = attempt
         self._run = run
-        self._resumer = resuming
+        self._resumer = stream_resumer
         self._meters = meters
         self._stream = EventStream(drop_usage=not request.usage_requested)
         self._relay = StreamRelay(attempt.answer, self._stream, self._resume)
--- a/packages/loomyard-router/src/loomyard_router/requests/whole_answers.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/whole_answers.py
@@ -43,12 +43,12 @@
     if _content_type(attempt.answer.headers).startswith(EVENT_STREAM_TYPE):
         return Ok(False)
     match _collect(attempt.answer):
-        case Ok((body, whole)):
+        case Ok((body, complete)):
             attempt.first = body
         case Err(fault):
             attempt.settlement.settle_uncertain()
             return Err(fault)
-    if not whole:
+    if not complete:
         return Ok(False)
     attempt.settlement.settle(find_usage(attempt.first))
     if request.service.type is ServiceType.MODEL and attempt.answer.status == HTTPStatus.OK:
@@ -56,10 +56,10 @@
     return Ok(True)
 
 
-def make_answer(request: Request, attempt: Attempt, run: ClaimedRun, *, whole: bool) -> Answer:
+def make_answer(request: Request, attempt: Attempt, run: ClaimedRun, *, complete: bool) -> Answer:
     """Return the answer to the caller; the rest of a long one is relayed as it arrives."""
     status, headers = attempt.answer.status, attempt.answer.headers
-    if whole:
+    if complete:
         body = attempt.first if len(attempt.first) <= MAX_RECORDED_BYTES else None
         run.finish(RecordedOutcome(status=status, content_type=_content_type(headers), body=body))
         return Answer(status=status, headers=headers, body=[attempt.first])
--- a/packages/loomyard-router/src/loomyard_router/routed/answer_relay.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/answer_relay.py
@@ -24,7 +24,7 @@
 
 
 class AnswerRelay:
-    """Relay one answer to its caller; after a resume the head of the first target still stands."""
+    """Relay one answer to its caller; a resumed stream keeps the head of its first target."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
             self._forwarder.close(self._request, exchange)
 
     def finish_unread(self, detail: str) -> None:
-        """Finish an answer that its caller did not read; ``detail`` is why it was aborted."""
+        """Finish an answer read without its caller; ``detail`` is why it was aborted, or empty."""
         if detail:
             self._request.trace.broken = detail
         self.close()
@@ -90,7 +90,7 @@
         try:
             return self._exchange.connection.read_block(self._request.deadline)
         except ExchangeBrokenError as error:
-            self._fail_cut_off(str(error))
+            self._fail_broken_off(str(error))
         raise AssertionError("a broken answer raises")
 
     def _resume(self, detail: str) -> bytes:
@@ -98,7 +98,7 @@
         exchange = self._exchange
         assert exchange is not None
         if request.presence.gone or not request.route.resumable or not self._resumes_left:
-            self._fail_cut_off(detail)
+            self._fail_broken_off(detail)
         last_event = str(self._event_stream.last_id) if self._event_stream.last_id >= 0 else ""
         self._forwarder.record_broken(request, exchange.permit, detail)
         self.close()
@@ -121,7 +121,7 @@
         )
         return first
 
-    def _fail_cut_off(self, detail: str) -> None:
+    def _fail_broken_off(self, detail: str) -> None:
         """Report a broken answer to the crash guard, unless its caller has gone, and raise."""
         if self._exchange is not None and not self._request.presence.gone:
             self._forwarder.record_abort(self._request, self._exchange.permit)
--- a/packages/loomyard-router/src/loomyard_router/routed/app.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/app.py
@@ -185,7 +185,7 @@
             )
 
         if isinstance(answer.body, list):
-            # The WSGI server sets Content-Length for a body that is a list of blocks.
+            # The WSGI server sets Content-Length for a body that is a list of one block.
             finish()
             return answer.body
         return ReportedBody(answer.body, finish)
@@ -230,7 +230,7 @@
         status: int,
         code: int,
         executed: Executed,
-        **more: object,
+        **extra: object,
     ) -> None:
         """Record the metrics of a finished request and write its log line."""
         trace = request.trace
@@ -269,7 +269,7 @@
             placed_ms=_milliseconds(request.arrived_at, trace.slot_at),
             first_ms=_milliseconds(request.arrived_at, trace.answer_started_at),
             ended_ms=_milliseconds(request.arrived_at, now),
-            **more,
+            **extra,
         )
 
 
--- a/packages/loomyard-router/src/loomyard_router/routed/attempt_sender.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/attempt_sender.py
@@ -75,7 +75,7 @@
         except ExchangeBrokenError as error:
             connection.close()
             if request.presence.gone:
-                return Err(_uncertain_fault(ResultCode.CALLER_GONE, "the caller left"))
+                return Err(_uncertain_fault(ResultCode.CALLER_GONE, "the caller has gone"))
             return Err(_uncertain_fault(ResultCode.ANSWER_LOST, str(error)))
         except BaseException:
             connection.close()
--- a/packages/loomyard-router/src/loomyard_router/routed/body_budget.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/body_budget.py
@@ -19,13 +19,14 @@
 SMALL_FRACTION = 0.25
 # Fraction of the rest of the budget that one client account may use for several large bodies.
 ACCOUNT_FRACTION = 0.5
-# Seconds; a body of some megabytes is released with its answer, after a second or so.
+# Bounds of Retry-After in seconds: a body of some megabytes is released with its answer, after a
+# second or so.
 MIN_RETRY_AFTER = 0.5
 MAX_RETRY_AFTER = 1.5
 
 
 class BodyBudget:
-    """Reserve memory for request bodies; a body without room is refused.
+    """Reserve memory for request bodies before they are read; a body without room is refused.
 
     Small bodies may use the whole budget of ``max_bytes``, large ones all but ``SMALL_FRACTION`` of
     it. Of the latter, an account with several large bodies may use ``ACCOUNT_FRACTION``.
--- a/packages/loomyard-router/src/loomyard_router/routed/connection_pool.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/connection_pool.py
@@ -73,15 +73,15 @@
     def retain(self, known: set[TargetIncarnation]) -> None:
         """Close expired connections and those to incarnations other than the known ones."""
         now = self._clock.now()
-        for life, idle in list(self._idle.items()):
-            kept = [one for one in idle if life in known and now < one.until]
+        for incarnation, idle in list(self._idle.items()):
+            kept = [one for one in idle if incarnation in known and now < one.until]
             for one in idle:
                 if one not in kept:
                     one.connection.close()
             if kept:
-                self._idle[life] = kept
+                self._idle[incarnation] = kept
             else:
-                del self._idle[life]
+                del self._idle[incarnation]
 
     def _keep(self, target: AnnouncedTarget, connection: TargetConnection, seconds: float) -> None:
         """Keep a connection for up to ``seconds``, or close it where the target has enough."""
--- a/packages/loomyard-router/src/loomyard_router/routed/deadline_watch.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/deadline_watch.py
@@ -30,23 +30,23 @@
         self._deadlines: dict[Expirable, float] = {}
         self._task: gevent.Greenlet | None = None
 
-    def set_deadline(self, ending: Expirable, deadline: float) -> None:
+    def set_deadline(self, exchange: Expirable, deadline: float) -> None:
         """Set a deadline, replacing an earlier one."""
-        self._deadlines[ending] = deadline
+        self._deadlines[exchange] = deadline
         if self._task is None:
             self._task = gevent.spawn(self._run)
 
-    def clear_deadline(self, ending: Expirable) -> None:
+    def clear_deadline(self, exchange: Expirable) -> None:
         """Remove a deadline, as the exchange has ended."""
-        self._deadlines.pop(ending, None)
+        self._deadlines.pop(exchange, None)
 
     def check(self) -> None:
         """Expire everything past its deadline."""
         now = self._clock.now()
         passed = [one for one, deadline in self._deadlines.items() if deadline <= now]
-        for ending in passed:
-            del self._deadlines[ending]
-            ending.expire()
+        for exchange in passed:
+            del self._deadlines[exchange]
+            exchange.expire()
 
     def _run(self) -> None:
         while self._deadlines:
--- a/packages/loomyard-router/src/loomyard_router/routed/forwarder.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/forwarder.py
@@ -36,7 +36,7 @@
 
 MAX_BUFFERED_BYTES = 1 << 20
 RETRY_AFTER = 0.5
-# Connects that may fail for a request; nothing was sent, so they do not count as attempts.
+# Failed connects allowed for a request; nothing was sent then, so they do not count as attempts.
 MAX_UNREACHABLE = 3
 _TARGET_FAILURES = (
     ResultCode.TARGET_UNREACHABLE,
@@ -89,7 +89,7 @@
         whether it may have run at any target.
         """
         self._retry_budget.record_request(request.service)
-        opened = self.open(request, avoided=frozenset(), last_event=request.head.last_event)
+        opened = self.open(request, excluded=frozenset(), last_event=request.head.last_event)
         if opened.is_err():
             return Err(opened.unwrap_err())
         exchange, first, complete = opened.unwrap()
@@ -99,7 +99,7 @@
         return Ok(self._relay(request, exchange, first))
 
     def open(
-        self, request: RoutedRequest, *, avoided: frozenset[TargetIncarnation], last_event: str
+        self, request: RoutedRequest, *, excluded: frozenset[TargetIncarnation], last_event: str
     ) -> Result[tuple[Exchange, bytes, bool], Fault]:
         """Send until an answer has begun; return it, its first bytes and whether they are all."""
         executed = Executed.NO
@@ -108,20 +108,20 @@
             blocked = self._guard.check(request)
             if blocked is not None:
                 return Err(evolve(blocked, executed=executed) if attempts else blocked)
-            acquired = self._gate.acquire(request, avoided)
+            acquired = self._gate.acquire(request, excluded)
             if acquired.is_err():
                 fault = acquired.unwrap_err()
                 return Err(evolve(fault, executed=executed) if attempts else fault)
             permit = acquired.unwrap()
             if not request.presence.check():
                 permit.return_unused()
-                fault = Fault(code=ResultCode.CALLER_GONE, detail="the caller left")
+                fault = Fault(code=ResultCode.CALLER_GONE, detail="the caller has gone")
                 return Err(evolve(fault, executed=executed))
             if not self._registry.is_usable(permit.target):
                 # The target began to leave, or asked for back-off, while this request waited for
                 # the slot or this task for its turn.
                 permit.return_unused()
-                avoided = avoided | {permit.target.incarnation}
+                excluded = excluded | {permit.target.incarnation}
                 continue
             if self._guard.check(request) is not None:
                 # While this request waited for its slot, another router reported that it crashes
@@ -159,7 +159,7 @@
                 if crash_check is not None:
                     # The guard must know whether the target crashed before the next attempt.
                     crash_check.join()
-            avoided = avoided | {permit.target.incarnation}
+            excluded = excluded | {permit.target.incarnation}
             if attempts:
                 self._retry_budget.spend(request.service)
 
@@ -177,7 +177,7 @@
             return Err(Fault(code=ResultCode.RETRY_BUDGET_SPENT, detail=detail))
         self._retry_budget.spend(request.service)
         return self.open(
-            request, avoided=frozenset([broken.target.incarnation]), last_event=last_event
+            request, excluded=frozenset([broken.target.incarnation]), last_event=last_event
         )
 
     def record_broken(self, request: RoutedRequest, permit: SlotPermit, detail: str) -> None:
--- a/packages/loomyard-router/src/loomyard_router/routed/unread_answers.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/unread_answers.py
@@ -19,7 +19,8 @@
 
 logger = logging.getLogger(__name__)
 
-# A caller that reads takes a block within a few milliseconds, over a lossy link within about 200.
+# Time after which an answer counts as unread: a caller that reads takes a block within a few
+# milliseconds, over a lossy link within about 200.
 UNREAD_SECONDS = 0.5
 CHECK_SECONDS = 0.25
 # Wait for free memory before an answer is aborted; targets themselves cut off an answer that is
--- a/tests/test_loomyard_router/test_requests/serving_case.py
+++ b/tests/test_loomyard_router/test_requests/serving_case.py
@@ -111,7 +111,7 @@
             engine=engine,
             estimates=CostEstimates(),
             journal=Journal(self.clock),
-            retries=Retries(self.clock, spread=NoBackOff()),
+            retries=Retries(self.clock, rng=NoBackOff()),
         )
 
     def change(self) -> Change:
