--- a/tests/test_loomyard_router/test_routed/test_refusing_targets.py
+++ b/tests/test_loomyard_router/test_routed/test_refusing_targets.py
@@ -33,12 +33,12 @@
 
 
 def fail(request: Received, sock: socket.socket) -> None:
-    """Fail a request."""
+    """Answer with status 500."""
     sock.sendall(answer(request, status="500 Internal Server Error"))
 
 
 def refuse(request: Received, sock: socket.socket) -> None:
-    """Refuse a request."""
+    """Answer with status 503, stating that the request did not run."""
     sock.sendall(refusal(request))
 
 
