--- a/packages/loomyard/src/loomyard/__init__.py
+++ b/packages/loomyard/src/loomyard/__init__.py
@@ -1,4 +1,4 @@
-"""Objects, selectors, configuration and messages shared by the loomyard programs."""
+"""Configuration objects, log, errors, events and protocols shared by all loomyard programs."""
 
 from __future__ import annotations
 
--- a/packages/loomyard/src/loomyard/bounded_log.py
+++ b/packages/loomyard/src/loomyard/bounded_log.py
@@ -1,4 +1,4 @@
-"""Write log lines without ever holding up who logs."""
+"""Asynchronous log handler with a bounded queue, which never blocks the logging task."""
 
 from __future__ import annotations
 
@@ -18,84 +18,86 @@
 if TYPE_CHECKING:
     from loomyard.clock import Clock
 
-# Room for some seconds of lines where nobody reads; older routine lines go first.
-MOST_LINES = 4000
-# Bytes a second for the lines of plain successes, and as many for those of requests that were
-# refused and did not run: some sixty lines each, of the hundreds that a burst would write on half a
-# core. All others, failures above all, are always written.
-CEILING_BYTES = 24_000.0
+# A few seconds of lines while the reader of the output stalls; the oldest are dropped first.
+MAX_QUEUED_LINES = 4000
+# Limit for the lines of successful requests, and another of the same size for those of requests
+# that were refused without running: about 60 lines a second each. A burst of requests would write
+# hundreds, which costs half a core. All other lines, such as those of failures, have no limit.
+MAX_BYTES_PER_SECOND = 24_000.0
 REPORT_SECONDS = 5.0
 
 
-class Ceiling:
-    """A bound on the bytes a second of one kind of lines; a second's worth may come at once."""
+class ByteRateLimit:
+    """A token bucket that limits the bytes a second of log lines; it holds one second of credit."""
 
     def __init__(self, clock: Clock, rate: float) -> None:
         self._clock = clock
         self._rate = rate
         self._credit = rate
-        self._at = clock.now()
+        self._updated_at = clock.now()
 
     @property
-    def open(self) -> bool:
-        """Tell whether a line may be written; it need not be formatted to know that."""
+    def has_credit(self) -> bool:
+        """Whether a line may be written; can be asked before the line is formatted."""
         now = self._clock.now()
-        self._credit = min(self._rate, self._credit + (now - self._at) * self._rate)
-        self._at = now
+        self._credit = min(self._rate, self._credit + (now - self._updated_at) * self._rate)
+        self._updated_at = now
         return self._credit > 0
 
     def spend(self, size: int) -> None:
-        """Count a line that is written."""
+        """Deduct the bytes of a written line from the credit."""
         self._credit -= size
 
 
 class BoundedLogHandler(logging.Handler):
-    """Queue lines for a task that writes them; what does not fit is counted and said."""
+    """Queue log lines for a writer task; count and report those that are dropped."""
 
-    def __init__(self, fd: int, clock: Clock, *, ceiling: float = CEILING_BYTES) -> None:
+    def __init__(
+        self, fd: int, clock: Clock, *, max_bytes_per_second: float = MAX_BYTES_PER_SECOND
+    ) -> None:
         super().__init__()
-        self.left_out = 0
+        self.dropped = 0
         self._fd = fd
         self._clock = clock
-        self._successes = Ceiling(clock, ceiling)
-        self._refusals = Ceiling(clock, ceiling)
+        self._successes = ByteRateLimit(clock, max_bytes_per_second)
+        self._refusals = ByteRateLimit(clock, max_bytes_per_second)
         self._lines: deque[bytes] = deque()
-        self._reported = 0
-        self._report_at = 0.0
-        self._waiting = GeventEvent()
+        self._reported_dropped = 0
+        self._next_report_at = 0.0
+        self._has_lines = GeventEvent()
         self._task: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Start to write."""
+        """Start the writer task."""
         with suppress(OSError):
-            # Where the descriptor can't be made so, a write may wait as it always could.
+            # A descriptor that can't be made non-blocking may block the process in a write.
             os.set_blocking(self._fd, False)
         self._task = gevent.spawn(self._run)
 
     def emit(self, record: logging.LogRecord) -> None:
-        ceiling = self._ceiling_of(record)
-        if ceiling is not None and not ceiling.open:
-            self.left_out += 1
+        rate_limit = self._rate_limit_of(record)
+        if rate_limit is not None and not rate_limit.has_credit:
+            self.dropped += 1
             return
         try:
             line = self.format(record).encode() + b"\n"
         except Exception:
             self.handleError(record)
             return
-        if ceiling is not None:
-            ceiling.spend(len(line))
-        if len(self._lines) >= MOST_LINES:
+        if rate_limit is not None:
+            rate_limit.spend(len(line))
+        if len(self._lines) >= MAX_QUEUED_LINES:
             self._lines.popleft()
-            self.left_out += 1
+            self.dropped += 1
         self._lines.append(line)
-        self._waiting.set()
+        self._has_lines.set()
 
     def flush_now(self, deadline: float) -> None:
-        """Wait until all lines are written, or until a deadline."""
+        """Wait until all queued lines are written or the monotonic clock reaches the deadline."""
         while self._lines and self._clock.now() < deadline:
             gevent.sleep(0.005)
 
-    def _ceiling_of(self, record: logging.LogRecord) -> Ceiling | None:
+    def _rate_limit_of(self, record: logging.LogRecord) -> ByteRateLimit | None:
         if event_of(record) is not Event.REQUEST_ENDED:
             return None
         fields = getattr(record, "fields", {})
@@ -105,10 +107,10 @@
 
     def _run(self) -> None:
         while True:
-            self._waiting.wait()
+            self._has_lines.wait()
             while self._lines:
                 self._write(self._lines.popleft())
-            self._waiting.clear()
+            self._has_lines.clear()
             self._report()
 
     def _write(self, data: bytes) -> None:
@@ -116,19 +118,19 @@
             try:
                 data = data[nb_write(self._fd, data) :]
             except OSError:
-                # Nobody reads any more; the lines are lost, and who serves callers goes on.
-                self.left_out += 1
+                # The output was closed by its reader; drop the line and go on.
+                self.dropped += 1
                 return
 
     def _report(self) -> None:
         now = self._clock.now()
-        if self.left_out == self._reported or now < self._report_at:
+        if self.dropped == self._reported_dropped or now < self._next_report_at:
             return
-        self._report_at = now + REPORT_SECONDS
-        count, self._reported = self.left_out - self._reported, self.left_out
+        self._next_report_at = now + REPORT_SECONDS
+        count, self._reported_dropped = self.dropped - self._reported_dropped, self.dropped
         record = logging.LogRecord(
             __name__, logging.WARNING, __file__, 0, Event.LOG_LINES_LEFT_OUT.meaning, None, None
         )
         record.event = Event.LOG_LINES_LEFT_OUT
-        record.fields = {"lines": count, "all": self.left_out}
+        record.fields = {"lines": count, "all": self.dropped}
         self.emit(record)
--- a/packages/loomyard/src/loomyard/clock.py
+++ b/packages/loomyard/src/loomyard/clock.py
@@ -1,4 +1,4 @@
-"""Clocks: a monotonic one for leases and a wall clock for what callers and operators read."""
+"""Clocks: monotonic time for leases and deadlines, wall time for callers and operators."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 
 import gevent
 
-# A machine may be suspended. Its steady clock stands still meanwhile, and a lease that hangs on it
-# outlives by the whole suspension what everybody else holds it to. This one goes on: a suspension
-# looks like a pause of the process, which all waits have to bear anyway.
-_COUNTING = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+# CLOCK_MONOTONIC stops while a VM is suspended, so a lease timed by it would outlast its expiry at
+# all other routers by the length of the suspension. CLOCK_BOOTTIME keeps counting: a suspension
+# looks like a process pause, which all waits have to tolerate anyway.
+_BOOT_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
-def machine_seconds() -> float:
-    """Return the seconds since the machine's start, those of a suspension included."""
-    return time.clock_gettime(_COUNTING)
+def boottime_seconds() -> float:
+    """Return the seconds since the VM booted, including the time it was suspended."""
+    return time.clock_gettime(_BOOT_CLOCK)
 
 
 class Clock(Protocol):
-    """Tell the time and wait."""
+    """Source of time and sleep, injected so that tests can control both."""
 
     def now(self) -> float:
-        """Return monotonic seconds, those of a suspension included."""
+        """Return monotonic seconds, including the time the VM was suspended."""
 
     def wall(self) -> float:
         """Return seconds since the Unix epoch."""
 
     def sleep(self, seconds: float) -> None:
-        """Wait for a number of seconds."""
+        """Block the calling task for a number of seconds."""
 
 
 class SystemClock:
-    """The clock of the machine."""
+    """The clock of the operating system."""
 
     def now(self) -> float:
-        return machine_seconds()
+        return boottime_seconds()
 
     def wall(self) -> float:
         return time.time()
--- a/packages/loomyard/src/loomyard/codec.py
+++ b/packages/loomyard/src/loomyard/codec.py
@@ -1,4 +1,4 @@
-"""Conversion between typed values, plain data and CBOR."""
+"""Conversion between attrs classes, plain data (dicts and lists) and CBOR."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def make_codec(*, omit_if_default: bool = True) -> Converter:
-    """Make the converter that all messages and records share."""
+    """Make a converter for messages and records, which refuses unknown fields."""
     codec = make_converter(forbid_extra_keys=True, omit_if_default=omit_if_default)
     codec.register_unstructure_hook(ConfigObject, _unstructure_object(codec))
     codec.register_structure_hook(ConfigObject, _structure_object(codec))
@@ -30,19 +30,19 @@
 
 
 def structure_bytes(data: Any, _: Any) -> bytes:
-    """Take bytes only: ``bytes`` of a number would allocate as many."""
+    """Accept only bytes; ``bytes(n)`` of a hostile number would allocate ``n`` bytes."""
     if not isinstance(data, bytes):
         raise ValueError("not a byte string")
     return data
 
 
 def encode(value: object) -> bytes:
-    """Encode a typed value as CBOR."""
+    """Encode a value of a structured type as CBOR."""
     return cbor2.dumps(CODEC.unstructure(value))
 
 
 def decode(data: bytes, kind: type[T]) -> Result[T, str]:
-    """Decode CBOR into a typed value."""
+    """Decode CBOR into a value of type ``kind``; the error text lists every fault."""
     try:
         return Ok(CODEC.structure(load_plain(data), kind))
     except BaseValidationError as error:
@@ -72,7 +72,7 @@
     return structure
 
 
-# Stands last because making it needs the hooks above.
+# Defined last because its construction needs the hooks above.
 CODEC = make_codec()
-# For people and other programs, who should see the defaults.
+# For documents read by people and other programs: fields with default values are written too.
 DOCUMENT_CODEC = make_codec(omit_if_default=False)
--- a/packages/loomyard/src/loomyard/configuration/__init__.py
+++ b/packages/loomyard/src/loomyard/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The configuration as a function of the log."""
+"""The configuration as a fold of the log: changes, states, verdicts and snapshots."""
 
 from __future__ import annotations
 
--- a/packages/loomyard/src/loomyard/configuration/assembly.py
+++ b/packages/loomyard/src/loomyard/configuration/assembly.py
@@ -1,4 +1,4 @@
-"""Put parts of snapshots together."""
+"""Reassembly of snapshots from their parts."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class SnapshotAssembly:
-    """Collect parts as they come: doubled, out of order, of several snapshots."""
+    """A collector of parts of several snapshots, which may be duplicate and out of order."""
 
     def __init__(self) -> None:
         self._parts: dict[tuple[int, bytes, int], dict[int, SnapshotPart]] = {}
 
     def add(self, part: SnapshotPart) -> None:
-        """Take in a part; one that cannot belong to a snapshot is dropped."""
+        """Add a part; drop it if its index or count is out of range."""
         if not 0 <= part.index < part.count <= MAX_PARTS:
             return
         key = (part.as_of, part.checksum, part.count)
         self._parts.setdefault(key, {}).setdefault(part.index, part)
 
     def complete(self, *, least: int) -> list[tuple[SnapshotPart, ...]]:
-        """Return the complete snapshots as of ``least`` or later, the newest first."""
+        """Return the complete snapshots as of log offset ``least`` or later, newest first."""
         found = [
             tuple(parts[index] for index in range(count))
             for (as_of, _, count), parts in self._parts.items()
--- a/packages/loomyard/src/loomyard/configuration/change.py
+++ b/packages/loomyard/src/loomyard/configuration/change.py
@@ -1,4 +1,4 @@
-"""A change of the configuration, as a log record."""
+"""A change of the configuration, as recorded in the log."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 @frozen(kw_only=True)
 class Put:
-    """Create or replace an object; ``based_on`` is the version replaced or ``ABSENT``."""
+    """A put that creates or replaces an object.
+
+    ``based_on`` is the version that is replaced, ``ABSENT`` for a new object.
+    """
 
     object: ConfigObject
     based_on: int = ABSENT
@@ -19,7 +22,7 @@
 
 @frozen(kw_only=True)
 class Deletion:
-    """Delete an object; ``based_on`` is the version deleted."""
+    """A deletion of an object at version ``based_on``."""
 
     ref: ObjectRef
     based_on: int
@@ -27,9 +30,9 @@
 
 @frozen(kw_only=True)
 class Change:
-    """Puts and deletions that are accepted or rejected together.
+    """Puts and deletions that are accepted or rejected atomically.
 
-    ``change_id`` is unique, so that a lost append answer is settled by reading.
+    ``change_id`` is unique: after an append without an answer the record is searched by it.
     """
 
     change_id: str
--- a/packages/loomyard/src/loomyard/configuration/decision.py
+++ b/packages/loomyard/src/loomyard/configuration/decision.py
@@ -1,4 +1,4 @@
-"""What was decided about a change, and why."""
+"""The decision about a change: verdict and reason."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @frozen
 class Decision:
-    """A verdict; ``detail`` says why a change was not accepted."""
+    """A verdict and, if the change was not accepted, the reason in ``detail``."""
 
     verdict: Verdict
     detail: str = ""
--- a/packages/loomyard/src/loomyard/configuration/digest.py
+++ b/packages/loomyard/src/loomyard/configuration/digest.py
@@ -1,4 +1,4 @@
-"""Digests of objects, which add up to the digest of a configuration."""
+"""Digests of objects; their sum is the digest of a configuration."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 def object_digest(item: ConfigObject, version: int) -> int:
     """Return the digest of an object at a version.
 
-    A sum of such digests finds routers that differ by a fault; it does not resist an attacker,
-    who would need an operator's key to choose the objects.
+    The sum of such digests reveals routers whose states differ by a fault. It is not
+    collision-resistant against an attacker, but choosing the objects requires an operator key.
     """
     fields = [type(item).__name__, CODEC.unstructure(item), version]
     data = cbor2.dumps(fields, canonical=True)
@@ -28,5 +28,5 @@
 
 
 def format_digest(digest: int) -> str:
-    """Return a digest as people and messages write it."""
+    """Return a digest in hexadecimal digits, as used in messages and output."""
     return f"{digest:0{2 * DIGEST_BYTES}x}"
--- a/packages/loomyard/src/loomyard/configuration/fold.py
+++ b/packages/loomyard/src/loomyard/configuration/fold.py
@@ -1,4 +1,4 @@
-"""The fold of one change into a configuration."""
+"""The fold: application of one change to a configuration state."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def fold(state: ConfigState, offset: int, change: Change) -> tuple[ConfigState, Verdict]:
     """Return the state after the change at a log offset, and the verdict.
 
-    A pure function: every router that reads the same records decides the same.
+    A pure function, so that all routers that read the same records come to the same state.
     """
     if offset <= state.applied:
         return state, Verdict.REPEATED
@@ -27,7 +27,7 @@
 
 
 def decide(state: ConfigState, change: Change) -> Decision:
-    """Decide about a change as the next record of the log."""
+    """Return the decision about a change that is the next record of the log."""
     if faults := find_form_faults(change):
         return Decision(Verdict.INVALID, "; ".join(faults))
     if stale := _stale_refs(state, change):
@@ -40,7 +40,7 @@
 def apply_decision(
     state: ConfigState, offset: int, change: Change, decision: Decision
 ) -> ConfigState:
-    """Return the state after a change that was decided about."""
+    """Return the state after a change and the decision about it."""
     if decision.verdict is not Verdict.ACCEPTED:
         return state.advance(offset)
     puts = [put.object for put in change.puts]
@@ -51,7 +51,7 @@
     expected = [(ref_of(put.object), put.based_on) for put in change.puts]
     expected += [(deletion.ref, deletion.based_on) for deletion in change.deletions]
     return [
-        f"{ref}: based on {_describe(based_on)}, now {_describe(_version(state, ref))}"
+        f"{ref}: based on {_format_version(based_on)}, now {_format_version(_version(state, ref))}"
         for ref, based_on in expected
         if _version(state, ref) != based_on
     ]
@@ -62,5 +62,5 @@
     return ABSENT if found is None else found.version
 
 
-def _describe(version: int) -> str:
+def _format_version(version: int) -> str:
     return "absence" if version == ABSENT else f"version {version}"
--- a/packages/loomyard/src/loomyard/configuration/packing.py
+++ b/packages/loomyard/src/loomyard/configuration/packing.py
@@ -1,4 +1,4 @@
-"""Pack a configuration into parts, and back."""
+"""Encoding of a configuration state into snapshot parts, and decoding."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 BATCH_OBJECTS = 50
 COMPRESSION_LEVEL = 6
 MAX_UNPACKED_BYTES = 256 * 1024 * 1024
-_OBJECT_KIND: Any = ConfigObject  # a union, which type checkers do not take for a type
+_OBJECT_KIND: Any = ConfigObject  # Any, because type checkers do not accept a union as a type
 
 
 def pack(state: ConfigState, *, part_bytes: int = PART_BYTES) -> tuple[SnapshotPart, ...]:
-    """Pack a state; other tasks run between the batches of objects."""
+    """Encode, compress and split a state; yields to other tasks after each batch of objects."""
     data = _compress(state)
     checksum = hashlib.sha256(data).digest()
     slices = [data[start : start + part_bytes] for start in range(0, len(data), part_bytes)]
@@ -50,7 +50,7 @@
 
 
 def make_notice(state: ConfigState, *, writer: str, written_at: float) -> SnapshotNotice:
-    """Make the notice that the parts of a state were appended."""
+    """Make the record which states that all parts of a snapshot were appended."""
     return SnapshotNotice(
         snapshot_of=state.applied,
         version=state.version,
@@ -61,19 +61,19 @@
 
 
 def unpack(parts: Sequence[SnapshotPart]) -> Result[ConfigState, str]:
-    """Return the state of the parts of one snapshot, given in order."""
-    head = parts[0]
+    """Decode a state from all parts of one snapshot in order; yields to other tasks."""
+    first = parts[0]
     data = b"".join(part.data for part in parts)
-    if hashlib.sha256(data).digest() != head.checksum:
+    if hashlib.sha256(data).digest() != first.checksum:
         return Err("the checksum differs")
     try:
         with paused_collector():
-            state = make_state(_decompress(data), version=head.version, applied=head.as_of)
+            state = make_state(_decompress(data), version=first.version, applied=first.as_of)
     except BaseValidationError as error:
         return Err("; ".join(error_lines(error)))
     except Exception as error:  # zlib, cbor2 and hooks raise many types on hostile bytes
         return Err(f"{type(error).__name__}: {error}")
-    if format_digest(state.digest) != head.digest:
+    if format_digest(state.digest) != first.digest:
         return Err("the digest differs")
     return Ok(state)
 
@@ -82,7 +82,7 @@
     compressor = zlib.compressobj(COMPRESSION_LEVEL)
     data = bytearray()
     for batch in _batches(state):
-        fields = [[item.version, _plain(item.object)] for item in batch]
+        fields = [[item.version, _to_plain_data(item.object)] for item in batch]
         data += compressor.compress(cbor2.dumps(fields))
         gevent.sleep(0)
     return bytes(data + compressor.flush())
@@ -94,7 +94,7 @@
         yield items[start : start + BATCH_OBJECTS]
 
 
-def _plain(item: ConfigObject) -> object:
+def _to_plain_data(item: ConfigObject) -> object:
     return CODEC.unstructure(item, unstructure_as=ConfigObject)
 
 
--- a/packages/loomyard/src/loomyard/configuration/records.py
+++ b/packages/loomyard/src/loomyard/configuration/records.py
@@ -1,4 +1,4 @@
-"""The records of the configuration stream and their fold."""
+"""The records of the configuration stream, and their application to a state."""
 
 from __future__ import annotations
 
@@ -23,7 +23,10 @@
 
 @frozen
 class FoldedRecord:
-    """The state after a record; ``record`` is ``None`` where it could not be read."""
+    """The state after a record and the decision about it.
+
+    ``record`` is ``None`` if it was a repetition or could not be decoded.
+    """
 
     state: ConfigState
     record: ConfigRecord | None
@@ -31,7 +34,10 @@
 
 
 def fold_record(state: ConfigState, offset: int, payload: bytes) -> FoldedRecord:
-    """Fold a record as it stands in the log; a pure function, also of unreadable bytes."""
+    """Apply an encoded log record to a state; a pure function that never raises.
+
+    A record that cannot be decoded gets the verdict ``INVALID``.
+    """
     if offset <= state.applied:
         return FoldedRecord(state, None, Decision(Verdict.REPEATED))
     if len(payload) > MAX_CHANGE_BYTES:
--- a/packages/loomyard/src/loomyard/configuration/snapshot.py
+++ b/packages/loomyard/src/loomyard/configuration/snapshot.py
@@ -1,4 +1,4 @@
-"""The records of a snapshot: its parts and the notice that it is complete."""
+"""The log records of a snapshot: its parts and the notice that all were appended."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 class SnapshotPart:
     """A slice of a packed configuration.
 
-    ``as_of`` is the last log offset the configuration includes, ``digest`` its digest and
-    ``checksum`` the SHA-256 of all slices; slices of one ``as_of`` and ``checksum`` belong
-    together, whoever wrote them.
+    ``as_of`` is the last log offset that the configuration includes, ``digest`` its digest and
+    ``checksum`` the SHA-256 of all slices. Slices with equal ``as_of``, ``checksum`` and ``count``
+    form one snapshot, even if different routers wrote them.
     """
 
     as_of: int
@@ -27,7 +27,10 @@
 
 @frozen(kw_only=True)
 class SnapshotNotice:
-    """All parts of a snapshot were appended; ``written_at`` is the wall time in seconds."""
+    """A record that all parts of a snapshot were appended.
+
+    ``snapshot_of`` is the last log offset included, ``written_at`` the wall time in seconds.
+    """
 
     snapshot_of: int
     version: int
--- a/packages/loomyard/src/loomyard/configuration/state.py
+++ b/packages/loomyard/src/loomyard/configuration/state.py
@@ -1,4 +1,4 @@
-"""The configuration at one point of the log."""
+"""The configuration state at one offset of the log."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Verdict(Enum):
-    """What the fold decided about a change."""
+    """The result of a change in log order; ``REPEATED`` is for offsets already applied."""
 
     ACCEPTED = "accepted"
     STALE = "stale"
@@ -42,12 +42,12 @@
 
 @frozen
 class ConfigState:
-    """The objects in force.
+    """The configuration in force: objects, versions, digest and index of bearer keys.
 
-    ``version`` is the offset of the last accepted change, ``applied`` of the last record read.
-    ``digest`` is the sum of the digests of the objects, so that equal states have equal digests
-    and a change costs only its own objects. ``key_owners`` maps key digests to accounts.
-    Never changed in place; the maps share what did not change with those of earlier states.
+    ``version`` is the log offset of the last accepted change, ``applied`` that of the last record
+    read. ``digest`` is the sum of the digests of all objects, so that equal states have equal
+    digests and a change only needs the digests of its own objects. ``key_owners`` maps key digests
+    to accounts. Immutable; its maps share unchanged entries with those of earlier states.
     """
 
     objects: Map[ObjectRef, VersionedObject] = field(factory=Map, converter=_as_map)
@@ -57,11 +57,11 @@
     key_owners: Map[str, ObjectRef] = field(factory=Map, converter=_as_map, eq=False, repr=False)
 
     def get(self, ref: ObjectRef) -> VersionedObject | None:
-        """Return the object of a reference."""
+        """Return an object with its version, ``None`` if it does not exist."""
         return self.objects.get(ref)
 
     def advance(self, offset: int) -> ConfigState:
-        """Return the same objects with a later record read."""
+        """Return the state after a record that changes no objects."""
         return evolve(self, applied=offset)
 
     def replace(
@@ -94,26 +94,29 @@
     def _next_key_owners(
         self, removed: Iterable[VersionedObject], added: Iterable[VersionedObject]
     ) -> Map[str, ObjectRef]:
-        gone = [d for item in removed for d in _key_digests(item.object)]
-        come = {d: ref_of(item.object) for item in added for d in _key_digests(item.object)}
-        if not gone and not come:
+        removed_digests = [d for item in removed for d in _key_digests(item.object)]
+        added_owners = {d: ref_of(item.object) for item in added for d in _key_digests(item.object)}
+        if not removed_digests and not added_owners:
             return self.key_owners
         mutation = self.key_owners.mutate()
-        for digest in gone:
+        for digest in removed_digests:
             mutation.pop(digest, None)
-        mutation.update(come)
+        mutation.update(added_owners)
         return mutation.finish()
 
 
 def make_state(items: Iterable[VersionedObject], *, version: int, applied: int) -> ConfigState:
-    """Make a state of objects, with its digest and its index; ``items`` may let tasks run."""
+    """Make a state with digest and key index; raise ``ValueError`` on duplicate objects.
+
+    The iterator ``items`` may yield to other tasks.
+    """
     objects: MapMutation[ObjectRef, VersionedObject] = Map[ObjectRef, VersionedObject]().mutate()
     owners: MapMutation[str, ObjectRef] = Map[str, ObjectRef]().mutate()
     digest = 0
     for item in items:
         ref = ref_of(item.object)
         if ref in objects:
-            raise ValueError(f"{ref} stands twice")
+            raise ValueError(f"{ref} is defined twice")
         objects[ref] = item
         owners.update({key: ref for key in _key_digests(item.object)})
         digest += object_digest(item.object, item.version)
--- a/packages/loomyard/src/loomyard/configuration/validation.py
+++ b/packages/loomyard/src/loomyard/configuration/validation.py
@@ -1,4 +1,4 @@
-"""What a change must hold to besides the fields of its objects."""
+"""Validation of changes beyond the fields of single objects."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
     from loomyard.configuration.state import ConfigState
     from loomyard.objects import ConfigObject
 
-MAX_NAMED_FAULTS = 20
+MAX_REPORTED_FAULTS = 20
 SERVICE_KIND = Service.__name__
 
 
 def find_form_faults(change: Change) -> list[str]:
-    """Return what is wrong with a change whatever the state is."""
+    """Return the faults of a change that do not depend on the state."""
     refs = [ref_of(put.object) for put in change.puts] + [d.ref for d in change.deletions]
     if not refs:
         return ["the change names no object"]
     faults = [f"{ref}: named twice" for ref, count in Counter(refs).items() if count > 1]
     absent = [d.ref for d in change.deletions if d.based_on == ABSENT]
     faults += [f"{ref}: the deletion names no version" for ref in absent]
-    return faults[:MAX_NAMED_FAULTS]
+    return faults[:MAX_REPORTED_FAULTS]
 
 
 def find_state_faults(state: ConfigState, change: Change) -> list[str]:
-    """Return what would be wrong with the configuration after a change."""
-    outcome = _Outcome(state, change)
-    return list(_first(outcome.faults()))
+    """Return the faults that the configuration would have after a change."""
+    outcome = _ChangedConfig(state, change)
+    return list(_limit(outcome.faults()))
 
 
-class _Outcome:
-    """The configuration as it would be."""
+class _ChangedConfig:
+    """The configuration as it would be after a change."""
 
     def __init__(self, state: ConfigState, change: Change) -> None:
         self._state = state
@@ -47,7 +47,7 @@
     def faults(self) -> Iterator[str]:
         for ref, item in self._puts.items():
             yield from self._unknown_services(ref, item)
-        yield from self._doubled_keys()
+        yield from self._duplicate_keys()
         yield from self._broken_references()
 
     def _unknown_services(self, ref: ObjectRef, item: ConfigObject) -> Iterator[str]:
@@ -55,26 +55,26 @@
             if not self._exists(ObjectRef(SERVICE_KIND, name)):
                 yield f"{ref}: there is no {SERVICE_KIND}/{name}"
 
-    def _doubled_keys(self) -> Iterator[str]:
+    def _duplicate_keys(self) -> Iterator[str]:
         owners: dict[str, ObjectRef] = {}
         for ref, item in self._puts.items():
             for digest in item.key_digests if isinstance(item, ClientAccount) else []:
                 owner = owners.setdefault(digest, ref)
                 if owner == ref:
-                    owner = self._kept_owner(digest) or ref
+                    owner = self._unchanged_owner(digest) or ref
                 if owner != ref:
                     yield f"{ref}: shares a key digest with {owner}"
 
-    def _kept_owner(self, digest: str) -> ObjectRef | None:
+    def _unchanged_owner(self, digest: str) -> ObjectRef | None:
         owner = self._state.key_owners.get(digest)
-        return None if owner is None or self._is_touched(owner) else owner
+        return None if owner is None or self._is_changed(owner) else owner
 
     def _broken_references(self) -> Iterator[str]:
         names = {ref.name for ref in self._deleted if ref.kind == SERVICE_KIND}
         if not names:
             return
         for ref, versioned in self._state.objects.items():
-            if self._is_touched(ref):
+            if self._is_changed(ref):
                 continue
             for name in names.intersection(_services_of(versioned.object)):
                 yield f"{SERVICE_KIND}/{name}: {ref} still names it"
@@ -82,7 +82,7 @@
     def _exists(self, ref: ObjectRef) -> bool:
         return ref in self._puts or (ref in self._state.objects and ref not in self._deleted)
 
-    def _is_touched(self, ref: ObjectRef) -> bool:
+    def _is_changed(self, ref: ObjectRef) -> bool:
         return ref in self._puts or ref in self._deleted
 
 
@@ -92,6 +92,6 @@
     return [*item.services, *item.loadable] if isinstance(item, Target) else []
 
 
-def _first(faults: Iterator[str]) -> Iterator[str]:
-    for _, fault in zip(range(MAX_NAMED_FAULTS), faults, strict=False):
+def _limit(faults: Iterator[str]) -> Iterator[str]:
+    for _, fault in zip(range(MAX_REPORTED_FAULTS), faults, strict=False):
         yield fault
--- a/packages/loomyard/src/loomyard/events.py
+++ b/packages/loomyard/src/loomyard/events.py
@@ -1,4 +1,4 @@
-"""Numbered log events."""
+"""The numbered log events and a function that logs one with its fields."""
 
 from __future__ import annotations
 
@@ -7,43 +7,43 @@
 
 
 class Event(Enum):
-    """A log event: number, level and meaning."""
+    """A log event: number, level and message."""
 
     ROUTER_STARTED = (100, logging.INFO, "the router serves callers")
     ROUTER_STOPPING = (101, logging.INFO, "a planned stop began")
     ROUTER_STOPPED = (102, logging.INFO, "a planned stop ended")
     SETTINGS_ADOPTED = (103, logging.INFO, "changed settings are in force")
-    SETTINGS_UNREADABLE = (104, logging.ERROR, "changed settings can't be read; the old ones stay")
-    EXAMPLE_SECRET_USED = (105, logging.ERROR, "the links rely on the secret of an example")
-    LOG_LINES_LEFT_OUT = (110, logging.WARNING, "log lines were left out to hold nothing up")
+    SETTINGS_UNREADABLE = (104, logging.ERROR, "changed settings are unreadable; the old ones stay")
+    EXAMPLE_SECRET_USED = (105, logging.ERROR, "peer links use the example secret")
+    LOG_LINES_LEFT_OUT = (110, logging.WARNING, "log lines were dropped")
     CONFIGURATION_ADOPTED = (200, logging.INFO, "a configuration version is in force")
     CONFIGURATION_REJECTED = (201, logging.WARNING, "a change was rejected in log order")
     RECORD_INVALID = (202, logging.ERROR, "a log record could not be read and was skipped")
     SNAPSHOT_WRITTEN = (203, logging.INFO, "a configuration snapshot was appended")
     CONFIGURATION_DIVERGED = (204, logging.ERROR, "a snapshot of the same version differs")
-    SNAPSHOT_UNUSABLE = (209, logging.ERROR, "a snapshot is damaged and was passed over")
-    STARTING_POINT_ADOPTED = (205, logging.INFO, "a snapshot or a peer's state was taken over")
-    STARTING_POINT_MISSING = (206, logging.ERROR, "records are missing and no snapshot has them")
-    LOG_REGRESSED = (207, logging.ERROR, "the log ends before what was read; the state is kept")
+    SNAPSHOT_UNUSABLE = (209, logging.ERROR, "a damaged snapshot was skipped")
+    STARTING_POINT_ADOPTED = (205, logging.INFO, "the state was loaded from a snapshot or peer")
+    STARTING_POINT_MISSING = (206, logging.ERROR, "records are missing and no snapshot covers them")
+    LOG_REGRESSED = (207, logging.ERROR, "the log ends before the applied offset; state kept")
     SNAPSHOT_FAILED = (208, logging.WARNING, "a configuration snapshot could not be appended")
     CONFIGURATION_RESTORED = (210, logging.WARNING, "an operator restored the configuration")
     TABLE_ADOPTED = (230, logging.INFO, "a published configuration is in force")
-    TABLE_IGNORED = (231, logging.WARNING, "a published configuration is older than that in force")
+    TABLE_IGNORED = (231, logging.WARNING, "a published configuration is outdated")
     OPERATOR_REFUSED = (220, logging.WARNING, "an operator's request had no valid key")
-    OPERATOR_CHANGE = (221, logging.INFO, "an operator's change was settled")
+    OPERATOR_CHANGE = (221, logging.INFO, "the outcome of an operator's change is known")
     OPERATOR_DRAIN = (222, logging.INFO, "an operator drains a router or a target")
     LOG_UNAVAILABLE = (300, logging.WARNING, "the log service did not answer")
     LOG_RECOVERED = (301, logging.INFO, "the log service answers again")
     FEED_LOST = (302, logging.WARNING, "a feed of the platform's store does not answer")
     FEED_REGAINED = (303, logging.INFO, "a feed of the platform's store answers again")
-    FEED_TRIMMED = (304, logging.INFO, "records of a feed are gone; it is listed anew")
-    FEED_HEARD = (305, logging.INFO, "another router has read further in a feed")
-    FEED_FELL_BACK = (306, logging.WARNING, "the store came back from a copy that lacks writes")
+    FEED_TRIMMED = (304, logging.INFO, "records of a feed were trimmed; it is relisted")
+    FEED_HEARD = (305, logging.INFO, "another router is ahead in a feed")
+    FEED_FELL_BACK = (306, logging.WARNING, "the store rolled back to an older copy")
     MEMBER_CHANGED = (310, logging.INFO, "a router joined, left or changed its state")
     MEMBER_SUSPECTED = (311, logging.INFO, "a router did not answer probes")
-    MEMBER_REFUTED = (312, logging.WARNING, "others doubted that this router is alive")
-    MEMBER_NAME_TAKEN = (313, logging.ERROR, "a newer router has the name of this one")
-    ROUTER_PAUSED = (314, logging.WARNING, "this process stood still for some time")
+    MEMBER_REFUTED = (312, logging.WARNING, "other routers suspected this one")
+    MEMBER_NAME_TAKEN = (313, logging.ERROR, "a newer router uses the name of this one")
+    ROUTER_PAUSED = (314, logging.WARNING, "this process was paused for some time")
     DATAGRAM_REFUSED = (320, logging.WARNING, "a datagram was refused")
     PEER_REFUSED = (321, logging.WARNING, "a link or a frame of a peer was refused")
     PEER_UNREACHABLE = (322, logging.INFO, "a link to a peer could not be opened")
@@ -54,61 +54,41 @@
     REQUEST_REFUSED = (400, logging.INFO, "a request was refused before it ran")
     ATTEMPT_FAILED = (401, logging.WARNING, "an attempt at a target failed")
     CALLER_GONE = (402, logging.INFO, "the caller left; its work is cancelled unless it resumes")
-    STREAM_RESUMED = (403, logging.INFO, "a broken stream is resumed at its engine")
-    CALLER_RESUMED = (404, logging.INFO, "a caller goes on with a stream")
+    STREAM_RESUMED = (403, logging.INFO, "a broken stream was resumed at its engine")
+    CALLER_RESUMED = (404, logging.INFO, "a caller resumed a stream")
     REQUEST_ENDED = (405, logging.INFO, "a request got its final answer")
     STREAM_BROKEN = (406, logging.WARNING, "a stream to a caller was broken off")
-    REFUSED_EARLY = (407, logging.INFO, "requests were refused by their first bytes; none ran")
-    ANSWER_UNREAD = (
-        408,
-        logging.INFO,
-        "a caller does not read; its answer is taken off its target",
-    )
-    ANSWER_GIVEN_UP = (
-        409,
-        logging.WARNING,
-        "an answer that its caller does not read is broken off",
-    )
-    CLAIM_OUTCOME_UNKNOWN = (
-        550,
-        logging.WARNING,
-        "a request was sent once; its outcome is unknown",
-    )
-    CLAIMS_TRIMMED = (551, logging.WARNING, "a claim stream was trimmed past what was read")
-    CLAIM_END_DROPPED = (552, logging.ERROR, "the end of a claim was not recorded")
-    TARGET_EJECTED = (600, logging.WARNING, "attempts at a target fail; it gets no new work")
+    REFUSED_EARLY = (407, logging.INFO, "requests were refused before decoding; none ran")
+    ANSWER_UNREAD = (408, logging.INFO, "a caller does not read; its answer is buffered")
+    ANSWER_GIVEN_UP = (409, logging.WARNING, "an answer was aborted; its caller does not read")
+    CLAIM_OUTCOME_UNKNOWN = (550, logging.WARNING, "a request was sent; its outcome is unknown")
+    CLAIMS_TRIMMED = (551, logging.WARNING, "unread claim records were trimmed")
+    CLAIM_END_DROPPED = (552, logging.ERROR, "the record of a claim's end was dropped")
+    TARGET_EJECTED = (600, logging.WARNING, "a target was ejected after failed attempts")
     TARGET_LEAVING = (601, logging.INFO, "a target or its VM is leaving; it gets no new work")
     TARGET_RETURNED = (602, logging.INFO, "a target or its VM that was leaving has returned")
-    TARGET_ANNOUNCED = (603, logging.INFO, "a target announced itself")
-    TARGET_REANNOUNCED = (604, logging.INFO, "a target that had vanished is back")
-    TARGET_DRAINS = (605, logging.INFO, "a target drains; it gets no new work")
+    TARGET_ANNOUNCED = (603, logging.INFO, "a target was announced")
+    TARGET_REANNOUNCED = (604, logging.INFO, "a vanished target was announced again")
+    TARGET_DRAINS = (605, logging.INFO, "a target is draining; it gets no new work")
     TARGET_VANISHED = (606, logging.INFO, "a target's announcement is gone")
-    ENTRY_UNREADABLE = (
-        607,
-        logging.ERROR,
-        "an entry of a feed can't be read; it names nothing to use",
-    )
-    TARGET_REBORN = (608, logging.INFO, "a target started again under its id")
-    OLD_LIFE_IGNORED = (609, logging.INFO, "an announcement is of an earlier life of its target")
-    DATA_CENTRE_EMPTIED = (620, logging.WARNING, "an operator emptied a data centre")
-    DATA_CENTRE_TAKEN_BACK = (621, logging.INFO, "an emptied data centre is in use again")
-    TARGET_SAYS_LEAVING = (622, logging.INFO, "a target says in an answer that it leaves")
-    TARGET_ASKS_FOR_REST = (623, logging.WARNING, "a target asks this router for rest")
-    KEEPER_SILENT = (624, logging.WARNING, "a keeper of places did not answer in time")
-    KEEPER_ANSWERS = (625, logging.INFO, "a keeper of places that was silent answers again")
-    TARGET_ENDED = (630, logging.WARNING, "a target ended while this request ran there")
-    REQUEST_BLOCKED = (631, logging.ERROR, "a request ends targets; it is refused for a while")
-    REQUEST_CLEARED = (632, logging.INFO, "a request that seemed to end targets ran to its end")
-    CRASHES_NOT_KEPT = (
-        633,
-        logging.WARNING,
-        "the platform does not keep which requests end targets",
-    )
-    ORDER_LEASE_TAKEN = (610, logging.INFO, "this router holds the lease on orders to engines")
-    ORDER_LEASE_LOST = (611, logging.INFO, "another router took the lease on orders to engines")
-    ORDER_SENT = (612, logging.INFO, "an engine took an order")
-    ORDER_FAILED = (613, logging.WARNING, "an order was refused or its answer was lost")
-    ORDER_CONFIRMED = (614, logging.INFO, "a target reports the state that was ordered")
+    ENTRY_UNREADABLE = (607, logging.ERROR, "an entry of a feed or store can't be decoded")
+    TARGET_REBORN = (608, logging.INFO, "a target restarted under the same id")
+    OLD_LIFE_IGNORED = (609, logging.INFO, "an announcement of an earlier incarnation")
+    DATA_CENTRE_EMPTIED = (620, logging.WARNING, "an operator evacuated a data centre")
+    DATA_CENTRE_TAKEN_BACK = (621, logging.INFO, "an evacuated data centre is in use again")
+    TARGET_SAYS_LEAVING = (622, logging.INFO, "a target reports in an answer that it is leaving")
+    TARGET_ASKS_FOR_REST = (623, logging.WARNING, "a target asked this router to back off")
+    KEEPER_SILENT = (624, logging.WARNING, "a slot owner did not answer in time")
+    KEEPER_ANSWERS = (625, logging.INFO, "an unresponsive slot owner answers again")
+    TARGET_ENDED = (630, logging.WARNING, "a target crashed while running this request")
+    REQUEST_BLOCKED = (631, logging.ERROR, "a request crashes targets; it is blocked for a while")
+    REQUEST_CLEARED = (632, logging.INFO, "a request suspected of crashes completed")
+    CRASHES_NOT_KEPT = (633, logging.WARNING, "crash counts of requests could not be stored")
+    ORDER_LEASE_TAKEN = (610, logging.INFO, "this router holds the order lease")
+    ORDER_LEASE_LOST = (611, logging.INFO, "this router lost the order lease")
+    ORDER_SENT = (612, logging.INFO, "an engine accepted an order")
+    ORDER_FAILED = (613, logging.WARNING, "an order was refused or not acknowledged")
+    ORDER_CONFIRMED = (614, logging.INFO, "a target reports the ordered state")
     HANDLER_FAILED = (900, logging.ERROR, "a task ended with an unexpected error")
 
     @property
@@ -125,11 +105,11 @@
 
 
 def emit(logger: logging.Logger, event: Event, **fields: object) -> None:
-    """Log an event with its fields."""
+    """Log an event with its fields, if its level is enabled."""
     if logger.isEnabledFor(event.level):
         logger.log(event.level, event.meaning, extra={"event": event, "fields": fields})
 
 
 def event_of(record: logging.LogRecord) -> Event | None:
-    """Return the event of a log record."""
+    """Return the event of a log record, ``None`` for records of other libraries."""
     return getattr(record, "event", None)
--- a/packages/loomyard/src/loomyard/logs.py
+++ b/packages/loomyard/src/loomyard/logs.py
@@ -1,4 +1,4 @@
-"""Formats of log lines: text for people, JSON for programs."""
+"""Formatters of log lines (text for people, JSON for programs) and their installation."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from datetime import UTC, datetime
 from typing import Any
 
-from loomyard.clock import machine_seconds
+from loomyard.clock import boottime_seconds
 from loomyard.events import event_of
 
 TEXT = "text"
@@ -16,11 +16,11 @@
 
 
 class TextFormatter(logging.Formatter):
-    """A line with time, level, event number, meaning and fields."""
+    """Format a record as one text line: time, level, event number, message and fields."""
 
     def format(self, record: logging.LogRecord) -> str:
         number, fields = _event_of(record)
-        parts = [_time_of(record), record.levelname, f"[{number}]", record.getMessage()]
+        parts = [_timestamp_of(record), record.levelname, f"[{number}]", record.getMessage()]
         parts += [f"{name}={value}" for name, value in fields.items()]
         line = " ".join(parts).replace("\n", "\\n").replace("\r", "\\r")
         if record.exc_info:
@@ -29,14 +29,14 @@
 
 
 class JsonFormatter(logging.Formatter):
-    """A JSON object in a line."""
+    """Format a record as a JSON object in one line."""
 
     def format(self, record: logging.LogRecord) -> str:
         number, fields = _event_of(record)
         document: dict[str, Any] = {
-            "time": _time_of(record),
-            # The time of day may jump; these are the seconds of leases and deadlines.
-            "steady": round(machine_seconds(), 4),
+            "time": _timestamp_of(record),
+            # Wall time may jump; this is the clock of leases and deadlines.
+            "steady": round(boottime_seconds(), 4),
             "level": record.levelname.lower(),
             "logger": record.name,
             "event": number,
@@ -48,21 +48,21 @@
         return _encode(document)
 
 
-# An encoder of its own: ``json.dumps`` makes one for each line that names a default.
+# One encoder for all lines; ``json.dumps`` with ``default`` would make one for each.
 _encode = json.JSONEncoder(default=str).encode
 
 
-def configure_logs(form: str, level: int = logging.INFO) -> None:
-    """Log to the standard error stream in a format."""
-    use_handler(logging.StreamHandler(sys.stderr), form, level)
+def configure_logs(log_format: str, level: int = logging.INFO) -> None:
+    """Log to standard error in ``TEXT`` or ``JSON`` format."""
+    use_handler(logging.StreamHandler(sys.stderr), log_format, level)
 
 
-def use_handler(handler: logging.Handler, form: str, level: int = logging.INFO) -> None:
-    """Log to a handler in a format, and nowhere else."""
-    # No line tells of source lines, threads or processes, so that is not looked up for each.
+def use_handler(handler: logging.Handler, log_format: str, level: int = logging.INFO) -> None:
+    """Make a handler the only one of the root logger, with the formatter of ``log_format``."""
+    # No format prints source lines, threads or processes, so the lookup of each is turned off.
     logging._srcfile = None
     logging.logThreads = logging.logProcesses = logging.logMultiprocessing = False
-    handler.setFormatter(JsonFormatter() if form == JSON else TextFormatter())
+    handler.setFormatter(JsonFormatter() if log_format == JSON else TextFormatter())
     logging.basicConfig(level=level, handlers=[handler], force=True)
 
 
@@ -71,5 +71,5 @@
     return (event.number if event else 0), getattr(record, "fields", {})
 
 
-def _time_of(record: logging.LogRecord) -> str:
+def _timestamp_of(record: logging.LogRecord) -> str:
     return datetime.fromtimestamp(record.created, UTC).isoformat(timespec="milliseconds")
--- a/packages/loomyard/src/loomyard/manifests.py
+++ b/packages/loomyard/src/loomyard/manifests.py
@@ -1,4 +1,4 @@
-"""Manifests: YAML with one object a document."""
+"""Parsing and validation of manifests: YAML with one configuration object a document."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 MAX_MANIFEST_BYTES = 16 * 1024 * 1024
 VERSION_FIELD = "version"
-# The loader in C where the library was built with it: both are safe.
+# The faster C loader where PyYAML was built with it; both loaders are safe ones.
 _LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 
 
 @attrs.frozen
 class Manifest:
-    """An object, its source, and the version it is based on where the manifest names one."""
+    """An object, its source (such as a file) and, if given, the version it is based on."""
 
     object: ConfigObject
     source: str
@@ -35,48 +35,48 @@
 def read_manifests(
     sources: Iterable[tuple[str, str]],
 ) -> Result[list[ConfigObject], list[FieldFault]]:
-    """Read the objects of pairs of source name and text; report every fault."""
+    """Parse the objects of ``(source, text)`` pairs; the error lists every fault."""
     return read_versioned(sources).map(lambda manifests: [item.object for item in manifests])
 
 
 def read_versioned(
     sources: Iterable[tuple[str, str]],
 ) -> Result[list[Manifest], list[FieldFault]]:
-    """Read the manifests of pairs of source name and text; report every fault."""
+    """Parse the manifests of ``(source, text)`` pairs; the error lists every fault."""
     manifests: list[Manifest] = []
     faults: list[FieldFault] = []
     seen: set[ObjectRef] = set()
     for source, text in sources:
-        for document in _documents(source, text, faults):
-            version = _take_version(source, document, faults)
+        for document in _load_documents(source, text, faults):
+            version = _pop_version(source, document, faults)
             item = _read_object(source, document, faults)
             if item is None:
                 continue
             if ref_of(item) in seen:
-                faults.append(_fault(source, str(ref_of(item)), "metadata.name", "given twice"))
+                faults.append(_fault(source, str(ref_of(item)), "metadata.name", "defined twice"))
             seen.add(ref_of(item))
             manifests.append(Manifest(item, source, version))
     return Err(faults) if faults else Ok(manifests)
 
 
-def _take_version(source: str, document: Any, faults: list[FieldFault]) -> int | None:
+def _pop_version(source: str, document: Any, faults: list[FieldFault]) -> int | None:
     if not isinstance(document, dict) or VERSION_FIELD not in document:
         return None
     version = document.pop(VERSION_FIELD)
     if isinstance(version, bool) or not isinstance(version, int):
-        name = _describe(document.get(KIND_FIELD), document)
+        name = _object_name(document.get(KIND_FIELD), document)
         faults.append(_fault(source, name, VERSION_FIELD, "not a whole number"))
         return None
     return version
 
 
-def _documents(source: str, text: str, faults: list[FieldFault]) -> list[Any]:
+def _load_documents(source: str, text: str, faults: list[FieldFault]) -> list[Any]:
     if len(text) > MAX_MANIFEST_BYTES:
         faults.append(_fault(source, "-", "-", f"longer than {MAX_MANIFEST_BYTES} bytes"))
         return []
     try:
         if any(isinstance(event, yaml.AliasEvent) for event in yaml.parse(text, Loader=_LOADER)):
-            # A few nested aliases stand for billions of objects.
+            # A few nested aliases can expand to billions of objects.
             faults.append(_fault(source, "-", "-", "aliases are refused"))
             return []
         return [
@@ -93,13 +93,13 @@
         return None
     fields = dict(document)
     kind_name = fields.pop(KIND_FIELD, None)
-    name = _describe(kind_name, fields)
+    name = _object_name(kind_name, fields)
     kind = KINDS.get(kind_name) if isinstance(kind_name, str) else None
     if kind is None:
         faults.append(_fault(source, name, KIND_FIELD, f"not one of {', '.join(KINDS)}"))
         return None
     try:
-        # Structured first and validated after, so that all faults are reported and not the first.
+        # Validators run after structuring, so that all faults are reported, not only the first.
         with attrs.validators.disabled():
             item: ConfigObject = CODEC.structure(fields, kind)
     except BaseValidationError as error:
@@ -117,23 +117,23 @@
 
 def _invalid_fields(value: Any, path: str) -> Iterator[tuple[str, str]]:
     if isinstance(value, list):
-        for index, part in enumerate(value):
-            yield from _invalid_fields(part, f"{path}[{index}]")
+        for index, item in enumerate(value):
+            yield from _invalid_fields(item, f"{path}[{index}]")
     if not attrs.has(type(value)):
         return
     for attribute in attrs.fields(type(value)):
-        part = getattr(value, attribute.name)
-        place = f"{path}.{attribute.name}" if path else attribute.name
-        yield from _invalid_fields(part, place)
+        field_value = getattr(value, attribute.name)
+        field_path = f"{path}.{attribute.name}" if path else attribute.name
+        yield from _invalid_fields(field_value, field_path)
         if attribute.validator is None:
             continue
         try:
-            attribute.validator(value, attribute, part)
+            attribute.validator(value, attribute, field_value)
         except (ValueError, TypeError) as error:
-            yield place, str(error.args[0])
+            yield field_path, str(error.args[0])
 
 
-def _describe(kind: Any, fields: dict[str, Any]) -> str:
+def _object_name(kind: Any, fields: dict[str, Any]) -> str:
     metadata = fields.get("metadata")
     name = metadata.get("name") if isinstance(metadata, dict) else None
     return f"{kind}/{name}"
--- a/packages/loomyard/src/loomyard/objects/__init__.py
+++ b/packages/loomyard/src/loomyard/objects/__init__.py
@@ -1,4 +1,4 @@
-"""The objects that operators publish."""
+"""The configuration objects that operators publish."""
 
 from __future__ import annotations
 
--- a/packages/loomyard/src/loomyard/objects/client_account.py
+++ b/packages/loomyard/src/loomyard/objects/client_account.py
@@ -1,4 +1,4 @@
-"""A client account: who calls, with what share."""
+"""The client account object: bearer keys, fair-share weight and queue limit."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 @frozen(kw_only=True)
 class ClientAccount:
-    """A client account.
+    """A client account; its callers authenticate with one of its bearer keys.
 
-    ``key_digests`` are SHA-256 digests of bearer keys; ``queue_limit`` counts waiting requests
-    per router and service.
+    ``key_digests`` are SHA-256 digests of bearer keys, ``weight`` sets the fair share of capacity
+    and ``queue_limit`` the maximum of waiting requests per router and service.
     """
 
     metadata: Metadata
--- a/packages/loomyard/src/loomyard/objects/kinds.py
+++ b/packages/loomyard/src/loomyard/objects/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of object and how one is referred to."""
+"""The kinds of configuration object and references to objects."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @frozen(order=True)
 class ObjectRef:
-    """The kind and name of an object."""
+    """A reference to an object by kind and name."""
 
     kind: str
     name: str
@@ -28,5 +28,5 @@
 
 
 def ref_of(item: ConfigObject) -> ObjectRef:
-    """Return the reference of an object."""
+    """Return the reference to an object."""
     return ObjectRef(type(item).__name__, item.metadata.name)
--- a/packages/loomyard/src/loomyard/objects/metadata.py
+++ b/packages/loomyard/src/loomyard/objects/metadata.py
@@ -1,4 +1,4 @@
-"""What every object has: a name and labels."""
+"""The metadata of every configuration object: name and labels."""
 
 from __future__ import annotations
 
--- a/packages/loomyard/src/loomyard/objects/operation.py
+++ b/packages/loomyard/src/loomyard/objects/operation.py
@@ -1,4 +1,4 @@
-"""An operation of a plain service."""
+"""The operations of a plain service."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @frozen(kw_only=True)
 class Operation:
-    """A method and path prefix of a plain service, and whether a call may be repeated."""
+    """A method and path prefix of a plain service; idempotent calls may be retried."""
 
     path: str = field(validator=validators.matches_re(r"/.*"))
     method: str = "*"
--- a/packages/loomyard/src/loomyard/objects/route.py
+++ b/packages/loomyard/src/loomyard/objects/route.py
@@ -1,4 +1,4 @@
-"""A route: which client accounts reach which targets of a service."""
+"""The route object: which client accounts may use which targets of a service."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 @frozen(kw_only=True)
 class Route:
-    """Let the selected client accounts use the selected targets of a service.
+    """A permission for the selected client accounts to use the selected targets of a service.
 
-    Of the routes that select an account the one with the highest ``priority`` counts, then the
-    first by name.
+    ``accounts`` and ``targets`` are label selectors. Of several routes that select an account, the
+    one with the highest ``priority`` applies, then the first by name.
     """
 
     metadata: Metadata
--- a/packages/loomyard/src/loomyard/objects/service.py
+++ b/packages/loomyard/src/loomyard/objects/service.py
@@ -1,4 +1,4 @@
-"""A service: what callers ask for by name."""
+"""The service object: a model or plain service that callers request by name."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from loomyard.objects.operation import Operation
 
 MAX_UNITS = 1e9
-_IN_UNITS: list[Any] = [validators.ge(0), validators.le(MAX_UNITS)]
+_COST_VALIDATORS: list[Any] = [validators.ge(0), validators.le(MAX_UNITS)]
 
 
 class ServiceType(Enum):
-    """How a service is called and how its cost is counted."""
+    """Whether a service is a model on engines or a plain HTTP service."""
 
     MODEL = "model"
     PLAIN = "plain"
@@ -27,14 +27,14 @@
 
     Cost is in units: for a model ``prompt_weight`` times prompt tokens plus
     ``completion_weight`` times generated tokens, for a plain service ``second_weight`` times
-    seconds of target time. ``default_cost`` is the estimate, in units, where nothing is known.
+    seconds of target time. ``default_cost`` is the estimate, in units, while no costs are known.
     """
 
     metadata: Metadata
     type: ServiceType = ServiceType.MODEL
-    prompt_weight: float = field(default=1.0, validator=_IN_UNITS)
-    completion_weight: float = field(default=2.0, validator=_IN_UNITS)
-    second_weight: float = field(default=1000.0, validator=_IN_UNITS)
+    prompt_weight: float = field(default=1.0, validator=_COST_VALIDATORS)
+    completion_weight: float = field(default=2.0, validator=_COST_VALIDATORS)
+    second_weight: float = field(default=1000.0, validator=_COST_VALIDATORS)
     default_cost: float = field(
         default=500.0, validator=[validators.gt(0), validators.le(MAX_UNITS)]
     )
--- a/packages/loomyard/src/loomyard/objects/target.py
+++ b/packages/loomyard/src/loomyard/objects/target.py
@@ -1,4 +1,4 @@
-"""A target: one model engine or plain server."""
+"""The target object: one model engine or plain server."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TargetState(Enum):
-    """Whether a target may get new work."""
+    """Whether a target may get new requests."""
 
     ACTIVE = "active"
     LEAVING = "leaving"
@@ -20,10 +20,10 @@
 class Target:
     """A target that serves one or more services.
 
-    ``services`` are loaded from the start; ``loadable`` are further ones that it may be ordered
-    to load, which may unload the others. Without ``loadable`` a target gets no orders.
-    ``slots`` bounds the requests in flight; ``checks_fencing`` says whether the target refuses
-    an order with an old fencing number; ``vm`` is the name of its VM in the VM list.
+    ``services`` are loaded at its start; it can be ordered to load those of ``loadable``, which may
+    unload others. A target without ``loadable`` gets no orders. ``slots`` limits the requests in
+    flight; ``checks_fencing`` states that the target refuses orders with an outdated fencing
+    number; ``vm`` is the name of its VM in the VM list.
     """
 
     metadata: Metadata
--- a/packages/loomyard/src/loomyard/outside/__init__.py
+++ b/packages/loomyard/src/loomyard/outside/__init__.py
@@ -1,1 +1,1 @@
-"""The outside systems as narrow protocols, and an adapter for the wire of each."""
+"""Protocols of the external systems, with an HTTP adapter for each."""
--- a/packages/loomyard/src/loomyard/outside/engine.py
+++ b/packages/loomyard/src/loomyard/outside/engine.py
@@ -1,4 +1,4 @@
-"""A target as the router calls it."""
+"""Protocol of calls from a router to targets and model engines."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 class TargetCall:
     """One attempt at one target.
 
-    ``attempt_id`` is unique over the fleet; answers carry it back. ``deadline`` is in seconds
-    of the monotonic clock. A call that is not ``idempotent`` is never sent twice by the adapter.
+    ``attempt_id`` is unique in the fleet; the target repeats it in its answer. ``deadline`` is a
+    time of the monotonic clock. The adapter never sends a call twice that is not ``idempotent``.
     """
 
     attempt_id: str
@@ -31,7 +31,7 @@
 
 
 class TargetAnswer(Protocol):
-    """An answer whose body is read as it arrives."""
+    """An answer with a body that is read incrementally."""
 
     @property
     def status(self) -> int:
@@ -43,18 +43,18 @@
 
     @property
     def attempt_id(self) -> str:
-        """Return the attempt the target says it answers; empty where it says nothing."""
+        """Return the attempt id stated by the target, empty if it states none."""
 
     def read(self) -> Result[bytes, Fault]:
-        """Return the next bytes; empty at the end of a whole body."""
+        """Return the next bytes, empty at the end of a complete body."""
 
     def close(self) -> None:
-        """Give the connection up or back."""
+        """Release the connection, which is closed unless the body was read to its end."""
 
 
 @frozen(kw_only=True)
 class LoadReport:
-    """What an engine says of its load; the report may be seconds old."""
+    """The load that an engine reports; it may be seconds old."""
 
     running: int
     waiting: int
@@ -66,7 +66,7 @@
 
 @frozen(kw_only=True)
 class CacheEvent:
-    """A prompt prefix entered or left the cache of an engine."""
+    """An event of an engine's cache: a prompt prefix was stored or evicted."""
 
     sequence: int
     prefix: str
@@ -75,7 +75,7 @@
 
 @frozen(kw_only=True)
 class EngineOrder:
-    """An order to an engine under a fencing number."""
+    """An order to an engine, such as to load a model, with a fencing number."""
 
     action: str
     subject: str
@@ -83,26 +83,26 @@
 
 
 class Engine(Protocol):
-    """Call a target and steer an engine.
+    """Client of targets and of the control interface of engines.
 
-    A fault of ``open`` with ``Executed.NO`` means that nothing was sent; with
-    ``Executed.UNKNOWN`` bytes went out and no answer came.
+    A fault of ``open`` has ``Executed.NO`` if nothing was sent, ``Executed.UNKNOWN`` if bytes were
+    sent and no answer was received.
     """
 
     def open(self, call: TargetCall) -> Result[TargetAnswer, Fault]:
-        """Send a call and return its answer once the headers are there."""
+        """Send a call and return its answer once the headers have arrived."""
 
     def resume(self, call: TargetCall, after: int) -> Result[TargetAnswer, Fault]:
-        """Return the rest of a running or kept stream after an event number."""
+        """Return the rest of a running or retained stream after an event number."""
 
     def cancel(self, url: str, attempt_id: str) -> Result[None, Fault]:
-        """Stop the work of an attempt."""
+        """Cancel an attempt at its target."""
 
     def load(self, url: str) -> Result[LoadReport, Fault]:
-        """Return the load report."""
+        """Fetch the load report of an engine."""
 
     def cache_events(self, url: str, after: int) -> Result[list[CacheEvent], Fault]:
-        """Return cache events after a sequence number; there may be gaps."""
+        """Fetch the cache events after a sequence number; there may be gaps."""
 
     def order(self, url: str, order: EngineOrder) -> Result[None, Fault]:
-        """Give an order."""
+        """Send an order to an engine."""
--- a/packages/loomyard/src/loomyard/outside/http_log.py
+++ b/packages/loomyard/src/loomyard/outside/http_log.py
@@ -1,4 +1,4 @@
-"""The log service over HTTP: ``/streams/NAME/records`` with CBOR batches."""
+"""HTTP client of the log service: ``/streams/NAME/records`` with CBOR batches."""
 
 from __future__ import annotations
 
@@ -26,35 +26,35 @@
 
 
 class HttpLogService:
-    """Streams of a log service that answers over HTTP."""
+    """Log service client with one connection pool for appends and one for reads."""
 
     def __init__(self, host: str, port: int) -> None:
-        # Reads that wait for news must not keep appends from a connection.
-        self._appends = _make_client(host, port, ANSWER_TIMEOUT)
-        self._reads = _make_client(host, port, READ_TIMEOUT)
+        # Long-poll reads must not occupy the connections of appends.
+        self._append_client = _make_client(host, port, ANSWER_TIMEOUT)
+        self._read_client = _make_client(host, port, READ_TIMEOUT)
 
     def append(self, stream: str, payload: bytes) -> Result[int, Fault]:
         """Append a record and return its offset."""
         try:
-            response = self._appends.post(f"/streams/{stream}/records", body=payload)
+            response = self._append_client.post(f"/streams/{stream}/records", body=payload)
             body = bytes(response.read())
         except ConnectionRefusedError as error:
             return Err(_unavailable(str(error)))
-        except Exception as error:  # a reset or a timeout: the record may be there
-            return Err(_lost(str(error)))
+        except Exception as error:  # a reset or a timeout: the record may have been appended
+            return Err(_answer_lost(str(error)))
         if response.status_code == HTTP_UNAVAILABLE:
             return Err(_unavailable("the log service refused the append"))
         if response.status_code != HTTP_OK or not body.isdigit():
-            return Err(_lost(f"status {response.status_code}"))
+            return Err(_answer_lost(f"status {response.status_code}"))
         return Ok(int(body))
 
     def read(
         self, stream: str, offset: int, *, limit: int = 1000, wait: float = 0.0
     ) -> Result[LogBatch, Fault]:
-        """Read from an offset on; wait up to some seconds while there is nothing new."""
+        """Read records from an offset on; wait up to ``wait`` seconds if there are none."""
         query = f"from={offset}&limit={limit}&wait={wait:.3f}"
         try:
-            response = self._reads.get(f"/streams/{stream}/records?{query}")
+            response = self._read_client.get(f"/streams/{stream}/records?{query}")
             body = bytes(response.read())
         except Exception as error:
             return Err(_unavailable(str(error)))
@@ -82,5 +82,5 @@
     return Fault(code=ResultCode.LOG_UNAVAILABLE, detail=detail)
 
 
-def _lost(detail: str) -> Fault:
+def _answer_lost(detail: str) -> Fault:
     return Fault(code=ResultCode.LOG_ANSWER_LOST, detail=detail, executed=Executed.UNKNOWN)
--- a/packages/loomyard/src/loomyard/outside/http_vm_list.py
+++ b/packages/loomyard/src/loomyard/outside/http_vm_list.py
@@ -1,4 +1,4 @@
-"""The VM list over HTTP: ``/vms`` with a JSON list."""
+"""HTTP client of the VM list: ``/vms`` with a JSON list."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class HttpVmList:
-    """A VM list that answers over HTTP."""
+    """VM list client; every failure is the fault ``VM_LIST_UNAVAILABLE``."""
 
     def __init__(self, host: str, port: int) -> None:
         self._client = make_http_client(
@@ -30,7 +30,7 @@
         )
 
     def read(self) -> Result[list[Vm], Fault]:
-        """Return the VMs."""
+        """Fetch all VMs of the list."""
         try:
             response = self._client.get("/vms")
             body = bytes(response.read())
--- a/packages/loomyard/src/loomyard/outside/http_weight_store.py
+++ b/packages/loomyard/src/loomyard/outside/http_weight_store.py
@@ -1,4 +1,4 @@
-"""The weight store over HTTP: ``POST /reservations/MODEL``."""
+"""HTTP client of the weight store: ``POST /reservations/MODEL``."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 
 @frozen(kw_only=True)
 class Reservation:
-    """The answer of the store: seconds from now until a load may start."""
+    """The answer of the store: the seconds until a load may start."""
 
     wait_seconds: float
 
 
 class HttpWeightStore:
-    """A weight store that answers over HTTP.
+    """Weight store client.
 
-    A reservation whose answer was lost lapses at the store; another one is asked for later.
+    A reservation whose answer was lost expires at the store; the caller makes another one later.
     """
 
     def __init__(self, clock: Clock, host: str, port: int) -> None:
--- a/packages/loomyard/src/loomyard/outside/log_service.py
+++ b/packages/loomyard/src/loomyard/outside/log_service.py
@@ -1,4 +1,4 @@
-"""The log service: append-only streams with offsets."""
+"""Protocol of the log service: append-only streams of records with offsets."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
     from loomyard.errors import Fault
 
-# Seconds a read waits for records, and what an answer may take beyond. A log that falls silent
-# never answers what was due meanwhile, so their sum is how long silence can pass for a quiet
-# stream. With a wait of 2 s and a timeout of 5 s a change came up to 5 s after an outage had ended.
+# Maximum seconds of a long-poll read, and the margin for its answer. A read that is sent during an
+# outage of the log service may never be answered. The sum of both is the time until it fails, and
+# so the longest delay of a change after the outage: 5 s with a wait of 2 s and a timeout of 5 s.
 READ_WAIT = 1.0
 READ_ANSWER_SECONDS = 1.0
 
@@ -28,7 +28,7 @@
 
 @frozen
 class LogBatch:
-    """Records in offset order; ``first`` is the oldest offset kept, ``end`` the next to come."""
+    """Records in offset order; ``first`` is the oldest offset retained, ``end`` the next free."""
 
     first: int
     end: int
@@ -36,9 +36,9 @@
 
 
 class LogService(Protocol):
-    """Append to and read from streams.
+    """Client of the log service.
 
-    Errors of ``append``: ``LOG_UNAVAILABLE`` (not appended), ``LOG_ANSWER_LOST`` (unknown).
+    Errors of ``append``: ``LOG_UNAVAILABLE`` (not appended), ``LOG_ANSWER_LOST`` (not known).
     Errors of ``read``: ``LOG_UNAVAILABLE``.
     """
 
@@ -48,7 +48,7 @@
     def read(
         self, stream: str, offset: int, *, limit: int = 1000, wait: float = 0.0
     ) -> Result[LogBatch, Fault]:
-        """Read from an offset on; wait up to some seconds while there is nothing new.
+        """Read records from an offset on; wait up to ``wait`` seconds if there are none.
 
-        The wait is ``READ_WAIT`` at most; an error comes ``READ_ANSWER_SECONDS`` after that.
+        ``wait`` is at most ``READ_WAIT``; the read fails ``READ_ANSWER_SECONDS`` after that.
         """
--- a/packages/loomyard/src/loomyard/outside/settled_append.py
+++ b/packages/loomyard/src/loomyard/outside/settled_append.py
@@ -1,4 +1,4 @@
-"""An append whose lost answer is settled by reading the stream."""
+"""Append to the log service, confirmed by reading the stream if the answer is lost."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     from loomyard.clock import Clock
     from loomyard.outside.log_service import LogService
 
-FIRST_DELAY = 0.02
-LAST_DELAY = 1.0
+MIN_DELAY_SECONDS = 0.02
+MAX_DELAY_SECONDS = 1.0
 DELAY_FACTOR = 2.0
 JITTER = 0.25
-PAGE = 1000
+PAGE_RECORDS = 1000
 
 
 def append_settled(
@@ -28,17 +28,17 @@
     stream: str,
     payload: bytes,
     record_id: str,
-    is_mine: Callable[[bytes], bool],
+    is_match: Callable[[bytes], bool],
     deadline: float,
     clock: Clock,
     *,
     since: int = 0,
 ) -> Result[int, Fault]:
-    """Append once and return the offset; after a lost answer look for the record.
+    """Append once and return the offset; after a lost answer search the stream for the record.
 
-    ``is_mine`` tells the payload that carries ``record_id``; ``since`` is an offset that was
-    read before the append. The append is never repeated here: its request may still be on
-    the way, so that absence proves nothing.
+    ``is_match`` returns whether a payload has ``record_id``; the search starts at offset ``since``.
+    The append is never repeated: its request may still be in transit, so the absence of the record
+    does not prove that it failed.
 
     Errors: ``LOG_UNAVAILABLE`` (not appended), ``LOG_ANSWER_LOST`` (not found by the deadline;
     it may still appear).
@@ -48,9 +48,9 @@
         return appended
     position = since
     for attempt in count():
-        found, position = _search(log, stream, position, is_mine)
-        if found is not None:
-            return Ok(found)
+        offset, position = _search(log, stream, position, is_match)
+        if offset is not None:
+            return Ok(offset)
         left = deadline - clock.now()
         if left <= 0:
             break
@@ -65,22 +65,22 @@
 
 
 def backoff_seconds(attempt: int) -> float:
-    """Return the seconds to wait after a failed attempt, counted from 0, with jitter."""
-    delay = min(LAST_DELAY, FIRST_DELAY * DELAY_FACTOR ** min(attempt, 32))
+    """Return the exponential back-off in seconds, with jitter; attempts count from 0."""
+    delay = min(MAX_DELAY_SECONDS, MIN_DELAY_SECONDS * DELAY_FACTOR ** min(attempt, 32))
     return delay * (1 + random.uniform(-JITTER, JITTER))
 
 
 def _search(
-    log: LogService, stream: str, position: int, is_mine: Callable[[bytes], bool]
+    log: LogService, stream: str, position: int, is_match: Callable[[bytes], bool]
 ) -> tuple[int | None, int]:
-    """Read to the end; return the offset found, or where to read on."""
+    """Read up to the end; return the record's offset or ``None``, and the next position to read."""
     while True:
-        read = log.read(stream, position, limit=PAGE)
+        read = log.read(stream, position, limit=PAGE_RECORDS)
         if read.is_err():
             return None, position
         batch = read.unwrap()
         for record in batch.records:
-            if is_mine(record.payload):
+            if is_match(record.payload):
                 return record.offset, position
         position = max(position, batch.first, *(r.offset + 1 for r in batch.records[-1:]))
         if not batch.records or position >= batch.end:
--- a/packages/loomyard/src/loomyard/outside/vm_list.py
+++ b/packages/loomyard/src/loomyard/outside/vm_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of VMs, which lags."""
+"""Protocol of the platform's VM list, which is eventually consistent."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class VmState(Enum):
-    """What the platform says of a VM."""
+    """The state of a VM as reported by the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -22,7 +22,7 @@
 
 @frozen(kw_only=True)
 class Vm:
-    """A VM of the list; ``address`` is ``host:port`` of its peer listener, empty for targets."""
+    """A VM; ``address`` is ``host:port`` of a router's peer listener, empty for VMs of targets."""
 
     name: str
     data_centre: str
@@ -31,7 +31,7 @@
 
 
 class VmList(Protocol):
-    """Read the list."""
+    """Client of the VM list."""
 
     def read(self) -> Result[list[Vm], Fault]:
-        """Return the VMs."""
+        """Fetch all VMs of the list."""
--- a/packages/loomyard/src/loomyard/outside/weight_store.py
+++ b/packages/loomyard/src/loomyard/outside/weight_store.py
@@ -1,4 +1,4 @@
-"""The weight store, which is rate-limited."""
+"""Protocol of the weight store, from which engines load models at a limited rate."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class WeightStore(Protocol):
-    """Ask for a share of the store's rate."""
+    """Client of the weight store."""
 
     def reserve(self, model: str) -> Result[float, Fault]:
-        """Return the monotonic time at which a load may start.
+        """Reserve a load and return the monotonic time at which it may start.
 
         Error: ``WEIGHT_STORE_LIMITED`` with ``retry_after``.
         """
--- a/packages/loomyard/src/loomyard/plain_cbor.py
+++ b/packages/loomyard/src/loomyard/plain_cbor.py
@@ -1,6 +1,6 @@
-"""Reading of CBOR without semantic tags, which no message and no record needs.
+"""Decoding of CBOR that refuses semantic tags, which no message and no record needs.
 
-A short tagged number can stand for one of a million digits, and working that out stops a router.
+A few bytes of a tagged number can encode one of a million digits; decoding it would block a router.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class _RefusedTags(Mapping[int, "Callable[[Any, bool], Any]"]):
-    """The decoders of semantic tags: for each tag there is, one that refuses it."""
+    """A mapping of every tag to a decoder that raises ``ValueError``."""
 
     def __getitem__(self, tag: int) -> Callable[[Any, bool], Any]:
         return _refuse
@@ -28,12 +28,12 @@
 
 
 def load_plain(data: bytes) -> Any:
-    """Decode one item; raise an error of any type on hostile bytes and on tags."""
+    """Decode one CBOR item; on tags and malformed bytes raise an exception of any type."""
     return cbor2.loads(data, semantic_decoders=_REFUSED_TAGS)
 
 
 def make_plain_decoder(stream: BinaryIO) -> cbor2.CBORDecoder:
-    """Make a decoder of one item after the other that raises on tags."""
+    """Make a decoder of consecutive CBOR items in a stream, which raises on tags."""
     return cbor2.CBORDecoder(stream, semantic_decoders=_REFUSED_TAGS)
 
 
--- a/packages/loomyard/src/loomyard/prefixes.py
+++ b/packages/loomyard/src/loomyard/prefixes.py
@@ -1,4 +1,4 @@
-"""The name of a prompt's prefix, for cache locality."""
+"""Digest of the prefix of a prompt, by which requests are routed to engines that cache it."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 import json
 from typing import Any
 
-PREFIX_LENGTH = 256
-DIGEST_LENGTH = 16
+PREFIX_CHARACTERS = 256
+DIGEST_HEX_DIGITS = 16
 
 
 def prefix_of(document: dict[str, Any]) -> str:
     """Return the digest of the first characters of the prompt as JSON text.
 
-    Engines name cached prefixes in the same way; only as much as counts is encoded.
+    Engines report cached prefixes by the same digest. No more of the prompt than needed is encoded.
     """
     prompt = document.get("messages") or document.get("prompt", "")
-    head = _head(prompt)[:PREFIX_LENGTH]
-    return hashlib.sha256(head.encode()).hexdigest()[:DIGEST_LENGTH]
+    head = _encode_start(prompt)[:PREFIX_CHARACTERS]
+    return hashlib.sha256(head.encode()).hexdigest()[:DIGEST_HEX_DIGITS]
 
 
-def _head(prompt: Any) -> str:
+def _encode_start(prompt: Any) -> str:
     if isinstance(prompt, str):
-        return json.dumps(prompt[:PREFIX_LENGTH])
+        return json.dumps(prompt[:PREFIX_CHARACTERS])
     if not isinstance(prompt, list):
         return json.dumps(prompt)
     text = "["
     for number, item in enumerate(prompt):
         text += (", " if number else "") + json.dumps(item)
-        if len(text) >= PREFIX_LENGTH:
+        if len(text) >= PREFIX_CHARACTERS:
             return text
     return text + "]"
--- a/packages/loomyard/src/loomyard/rendezvous.py
+++ b/packages/loomyard/src/loomyard/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: the same choice on every router, moving little when names change."""
+"""Rendezvous hashing: equal choices on all routers; few keys move when the names change."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 
 
 def choose(key: str, names: Iterable[str]) -> str:
-    """Return the name that a key belongs to; raise ``ValueError`` where there is no name."""
+    """Return the name that owns a key; raise ``ValueError`` if there are no names."""
     return max(names, key=lambda name: _score(key, name))
 
 
 def rank(key: str, names: Iterable[str]) -> list[str]:
-    """Return the names in the order in which a key prefers them."""
+    """Return the names in the order of preference of a key; the first is its owner."""
     return sorted(names, key=lambda name: _score(key, name), reverse=True)
 
 
 def rank_weighted(key: str, weights: Mapping[str, float]) -> list[str]:
-    """Return the names in the order in which a key prefers them.
+    """Return the names in the order of preference of a key.
 
-    A name comes first for a part of all keys that is in proportion to its weight.
+    The share of keys for which a name comes first is proportional to its weight.
     """
     return sorted(weights, key=lambda name: (_distance(key, name, weights[name]), name))
 
 
 def _distance(key: str, name: str, weight: float) -> float:
     digest, _ = _score(key, name)
-    part = (int.from_bytes(digest, "big") + 0.5) / (1 << 8 * SCORE_BYTES)
-    return -math.log(part) / weight
+    fraction = (int.from_bytes(digest, "big") + 0.5) / (1 << 8 * SCORE_BYTES)
+    return -math.log(fraction) / weight
 
 
 def _score(key: str, name: str) -> tuple[bytes, str]:
     prefix = len(key).to_bytes(4, "big")
     data = prefix + key.encode() + name.encode()
-    # The name settles ties, so that the choice never hangs on the order of the names.
+    # The name breaks ties, so that the choice does not depend on the order of the names.
     return blake2b(data, digest_size=SCORE_BYTES).digest(), name
--- a/packages/loomyard/src/loomyard/routing.py
+++ b/packages/loomyard/src/loomyard/routing.py
@@ -1,4 +1,4 @@
-"""Which targets serve a client account's call of a service."""
+"""Resolution of a client account and a service to a route and its targets."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
     from loomyard.configuration import ConfigState
 
-CACHED_ROUTES = 20_000
+MAX_CACHED_ROUTES = 20_000
 
 
 @frozen
@@ -31,10 +31,10 @@
 
 
 class Routing:
-    """Look-ups over one configuration, made once for it.
+    """Indices and cached look-ups over one version of the configuration.
 
-    ``predecessor`` and ``changed`` let a change cost little where the configuration is large: the
-    indices share what did not change. ``changed`` is ``None`` where anything may have changed.
+    With ``predecessor`` and ``changed``, the references that differ from it, only these are indexed
+    anew and the rest is shared. If ``changed`` is ``None``, everything is indexed anew.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         else:
             self._changed = frozenset(changed)
             self._changed_since = predecessor.version
-            self._inherit(predecessor)
+            self._copy_indices(predecessor)
             self._update(self._changed)
         self._routes = self._order_routes()
         self._account_routes: dict[tuple[str, str], _ParsedRoute | None] = {}
@@ -66,32 +66,32 @@
         return self._state.version
 
     def changes_since(self, version: int) -> frozenset[ObjectRef] | None:
-        """Return what differs from an earlier version; ``None`` where that is not known."""
+        """Return the references that changed since an earlier version, ``None`` if not known."""
         return self._changed if version == self._changed_since else None
 
     def target_version(self, name: str) -> int:
-        """Return the log offset of the change that wrote a target; ``-1`` where there is none."""
+        """Return the log offset of the change that wrote a target, ``-1`` if it does not exist."""
         found = self._state.get(ObjectRef(Target.__name__, name))
         return EMPTY_VERSION if found is None else found.version
 
     def find_account(self, digest: str) -> ClientAccount | None:
-        """Return the account with a key of this digest."""
+        """Return the account that owns the bearer key with this digest."""
         owner = self._state.key_owners.get(digest)
         return None if owner is None else self.accounts.get(owner.name)
 
     def find_route(self, account: ClientAccount, service: str) -> Route | None:
-        """Return the route that counts for an account and a service."""
-        found = self._find(account, service)
+        """Return the matching route of the highest priority for an account and a service."""
+        found = self._find_parsed_route(account, service)
         return None if found is None else found.route
 
     def resolve(self, account: ClientAccount, service: str) -> Result[tuple[Target, ...], Fault]:
-        """Return the targets for an account's call, also those that may only load the service.
+        """Return the targets for an account's calls, including those that can load the service.
 
         Errors: ``UNKNOWN_SERVICE``, ``NO_ROUTE``, ``NO_TARGET``.
         """
         if service not in self.services:
             return Err(Fault(code=ResultCode.UNKNOWN_SERVICE, detail=f"no service {service!r}"))
-        found = self._find(account, service)
+        found = self._find_parsed_route(account, service)
         if found is None:
             detail = f"no route lets this account use {service!r}"
             return Err(Fault(code=ResultCode.NO_ROUTE, detail=detail))
@@ -101,10 +101,10 @@
             return Err(Fault(code=ResultCode.NO_TARGET, detail=detail))
         return Ok(targets)
 
-    def _find(self, account: ClientAccount, service: str) -> _ParsedRoute | None:
+    def _find_parsed_route(self, account: ClientAccount, service: str) -> _ParsedRoute | None:
         key = (account.metadata.name, service)
         if key not in self._account_routes:
-            if len(self._account_routes) >= CACHED_ROUTES:
+            if len(self._account_routes) >= MAX_CACHED_ROUTES:
                 self._account_routes.clear()
             self._account_routes[key] = self._match(account, service)
         return self._account_routes[key]
@@ -125,7 +125,7 @@
             )
         return self._route_targets[name]
 
-    def _inherit(self, predecessor: Routing) -> None:
+    def _copy_indices(self, predecessor: Routing) -> None:
         for name in _INDICES.values():
             setattr(self, name, getattr(predecessor, name))
 
@@ -144,7 +144,7 @@
         if versioned is None:
             mutation.pop(ref.name, None)
         else:
-            mutation[ref.name] = _indexed(versioned.object)
+            mutation[ref.name] = _index_entry(versioned.object)
 
     def _order_routes(self) -> dict[str, list[_ParsedRoute]]:
         ordered = sorted(
@@ -164,7 +164,7 @@
 }
 
 
-def _indexed(item: ConfigObject) -> ConfigObject | _ParsedRoute:
+def _index_entry(item: ConfigObject) -> ConfigObject | _ParsedRoute:
     if not isinstance(item, Route):
         return item
     accounts = parse_selector(item.accounts).unwrap()
--- a/packages/loomyard/src/loomyard/selectors.py
+++ b/packages/loomyard/src/loomyard/selectors.py
@@ -1,4 +1,4 @@
-"""Label selectors: ``=``, ``!=``, ``in``, ``notin`` and existence, joined by commas."""
+"""Label selectors: comma-separated ``=``, ``!=``, ``in``, ``notin``, ``KEY`` and ``!KEY`` terms."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Operator(Enum):
-    """How a requirement compares a label."""
+    """The comparison that a requirement makes."""
 
     IN = "in"
     NOT_IN = "notin"
@@ -33,14 +33,14 @@
 
 @frozen
 class Requirement:
-    """One comparison of one label."""
+    """A condition on one label; for ``=`` and ``!=`` the operator is ``IN`` or ``NOT_IN``."""
 
     key: str
     operator: Operator
     values: frozenset[str] = frozenset()
 
     def matches(self, labels: Mapping[str, str]) -> bool:
-        """Tell whether the labels meet the requirement."""
+        """Return whether the labels meet the requirement."""
         value = labels.get(self.key)
         match self.operator:
             case Operator.IN:
@@ -55,18 +55,18 @@
 
 @frozen
 class Selector:
-    """Requirements that must all hold; none selects everything."""
+    """Requirements that must all be met; without any, everything is selected."""
 
     text: str
     requirements: tuple[Requirement, ...]
 
     def matches(self, labels: Mapping[str, str]) -> bool:
-        """Tell whether the labels meet every requirement."""
+        """Return whether the labels meet every requirement."""
         return all(requirement.matches(labels) for requirement in self.requirements)
 
 
 def parse_selector(text: str) -> Result[Selector, str]:
-    """Parse the text of a selector."""
+    """Parse a selector; the error text names the first term that is not valid."""
     if len(text) > MAX_SELECTOR_LENGTH:
         return Err(f"longer than {MAX_SELECTOR_LENGTH} characters")
     if not text.strip():
@@ -75,7 +75,7 @@
     for term in _SPLIT.split(text):
         requirement = _parse_term(term)
         if requirement is None:
-            return Err(f"cannot read the term {term.strip()!r}")
+            return Err(f"cannot parse the term {term.strip()!r}")
         requirements.append(requirement)
     return Ok(Selector(text, tuple(requirements)))
 
--- a/packages/loomyard/src/loomyard/util/__init__.py
+++ b/packages/loomyard/src/loomyard/util/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers."""
+"""Helpers for sockets, waiting, parsing and garbage collection."""
--- a/packages/loomyard/src/loomyard/util/collector.py
+++ b/packages/loomyard/src/loomyard/util/collector.py
@@ -1,4 +1,4 @@
-"""The garbage collector around large structures that hold no cycles."""
+"""Tuning of the garbage collector for large structures without reference cycles."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-LARGE = 1000
-# Allocations before a collection of the youngest objects, and how many of those before the older.
-RARELY = (100_000, 50, 50)
+MIN_FROZEN_OBJECTS = 1000
+# Thresholds of gc.set_threshold: allocations per collection of generation 0, and for generations 1
+# and 2 the collections of the next younger generation.
+COLLECTION_THRESHOLDS = (100_000, 50, 50)
 
 
 @contextmanager
 def paused_collector() -> Iterator[None]:
-    """Build a large structure without full collections in between."""
+    """Turn the collector off while a large structure is built."""
     enabled = gc.isenabled()
     gc.disable()
     try:
@@ -27,21 +28,21 @@
 
 
 def exempt_from_collection(objects: int) -> None:
-    """Let later collections pass over what lives now, if that is a large number of objects.
+    """Exclude all objects that exist now from later collections, if ``objects`` is large.
 
-    A full collection goes through all of it each time and holds up the relays meanwhile. Objects
-    without cycles are freed by their reference counts as before.
+    A full collection traverses all of them and blocks the relaying of streams meanwhile. Objects
+    without reference cycles are still freed by reference counting.
     """
-    if objects >= LARGE:
+    if objects >= MIN_FROZEN_OBJECTS:
         gc.freeze()
 
 
 def tune_collector() -> None:
-    """Let a process that relays streams collect rarely, and not what it imported.
+    """Make collections rare and exclude imported modules from them.
 
-    A collection holds up every stream at once, and streams leave few cycles behind. A process that
-    held the collector off while it started has it back from here on.
+    A collection blocks all streams of the process, and streams create few reference cycles. Also
+    turns the collector on again for a process that turned it off during start-up.
     """
     gc.enable()
     gc.freeze()
-    gc.set_threshold(*RARELY)
+    gc.set_threshold(*COLLECTION_THRESHOLDS)
--- a/packages/loomyard/src/loomyard/util/optional_listener.py
+++ b/packages/loomyard/src/loomyard/util/optional_listener.py
@@ -1,4 +1,4 @@
-"""A listener that may be left out."""
+"""A listener that does nothing when it is not configured."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class OptionalListener:
-    """Start and stop a server; without one do nothing.
+    """Start and stop a WSGI server; do nothing if it is ``None``.
 
-    ``stop_timeout`` is how long open calls may go on, in seconds; ``None`` leaves it to the server.
+    ``stop_timeout`` limits the seconds given to open calls; ``None`` uses the server's default.
     """
 
     def __init__(self, server: WSGIServer | None, *, stop_timeout: float | None = None) -> None:
@@ -23,11 +23,11 @@
         return 0 if self._server is None else self._server.server_port
 
     def start(self) -> None:
-        """Start to serve."""
+        """Start to accept connections."""
         if self._server is not None:
             self._server.start()
 
     def stop(self) -> None:
-        """Stop to serve."""
+        """Stop accepting connections and wait for open calls."""
         if self._server is not None:
             self._server.stop(timeout=self._stop_timeout)
--- a/packages/loomyard/src/loomyard/util/seconds.py
+++ b/packages/loomyard/src/loomyard/util/seconds.py
@@ -1,13 +1,13 @@
-"""Seconds as headers tell them."""
+"""Parsing of header values in seconds, such as ``Retry-After``."""
 
 from __future__ import annotations
 
 import re
 
-# Up to some thirty years; no sign, exponent or word for what is no number.
+# At most 9 digits (about 30 years); no sign, exponent, ``inf`` or ``nan``.
 _SECONDS = re.compile(r"[0-9]{1,9}(\.[0-9]{0,9})?")
 
 
 def read_seconds(text: str) -> float:
-    """Return a number of seconds, 0 for anything else; a date would need clocks that agree."""
+    """Parse a number of seconds; return 0 for other text, including dates (clocks may differ)."""
     return float(text) if _SECONDS.fullmatch(text.strip()) else 0.0
--- a/packages/loomyard/src/loomyard/util/tcp.py
+++ b/packages/loomyard/src/loomyard/util/tcp.py
@@ -1,7 +1,7 @@
-"""TCP connections that send at once and do not stay open to a peer that fell silent.
+"""TCP connections without Nagle's algorithm, which are closed when the peer is unresponsive.
 
-A head and a body written one after the other wait 40 ms for each other's acknowledgement where
-the sender gathers small segments; every listener and client here turns that off.
+With Nagle's algorithm a body written after its head waits up to 40 ms for the acknowledgement of
+the head; every listener and client here turns it off.
 """
 
 from __future__ import annotations
@@ -16,17 +16,18 @@
     from geventhttpclient.connectionpool import ConnectionPool
 
 
-# A connection whose peer answers no probe, or acknowledges nothing that was sent, ends after this
-# long. Without it a read that waits for news hangs on a connection that the network forgot. Two
-# lost packets take less on a local network, and users excuse 3 s after connections were reset.
-MOST_SILENT_MILLISECONDS = 3000
-PROBE_AFTER_SECONDS = 1
-PROBE_EVERY_SECONDS = 1
-MOST_PROBES = 2
+# The kernel closes a connection after 3 s without an answer to keepalive probes or an
+# acknowledgement of sent bytes. Otherwise a long-poll read would hang on a connection that the
+# network dropped without a reset. On a local network, two lost packets take less time to recover;
+# users accept 3 s after a reset of connections.
+USER_TIMEOUT_MILLISECONDS = 3000
+KEEPALIVE_IDLE_SECONDS = 1
+KEEPALIVE_INTERVAL_SECONDS = 1
+KEEPALIVE_PROBES = 2
 
 
 class NoDelayServer(WSGIServer):
-    """A WSGI server whose connections send at once; accepted sockets inherit the option."""
+    """A WSGI server with TCP_NODELAY on its connections, which inherit it from the listener."""
 
     def init_socket(self) -> None:
         super().init_socket()
@@ -34,33 +35,33 @@
 
 
 def make_http_client(host: str, port: int, **options: Any) -> HTTPClient:
-    """Make a client whose connections send at once; the options are those of ``HTTPClient``."""
+    """Make an ``HTTPClient`` with TCP_NODELAY and keepalive; ``options`` are passed on to it."""
     client = HTTPClient(host, port, **options)
     send_at_once(client._connection_pool)
     return client
 
 
 def send_at_once(pool: ConnectionPool) -> None:
-    """Let the connections that a pool makes send at once and end with a silent peer."""
-    connected = pool.after_connect
+    """Set TCP_NODELAY and keepalive on every connection that a pool opens."""
+    original = pool.after_connect
 
     def after_connect(sock: socket.socket) -> Any:
         disable_delay(sock)
         end_if_silent(sock)
-        return connected(sock)
+        return original(sock)
 
     pool.after_connect = after_connect  # type: ignore[method-assign]
 
 
 def disable_delay(sock: Any) -> None:
-    """Turn the gathering of small segments off."""
+    """Turn Nagle's algorithm off."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def end_if_silent(sock: Any) -> None:
-    """Let the kernel end a connection whose peer is gone without a word."""
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, MOST_SILENT_MILLISECONDS)
+    """Let the kernel close a connection whose peer does not respond any more."""
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MILLISECONDS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_SECONDS)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY_SECONDS)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MOST_PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
--- a/packages/loomyard/src/loomyard/util/waiting.py
+++ b/packages/loomyard/src/loomyard/util/waiting.py
@@ -1,4 +1,4 @@
-"""Wait for a result until a deadline of an injected clock."""
+"""Waiting for results and events with deadlines of an injected clock."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 def wait_result(result: AsyncResult, deadline: float, clock: Clock) -> object | None:
-    """Return the result, or ``None`` at the deadline."""
+    """Wait for a result and return it, or ``None`` if the deadline passes first."""
     if not result.ready():
         wait_any([result], deadline, clock)
     return result.value if result.ready() else None
 
 
-def wait_any(waited: list[Any], deadline: float, clock: Clock) -> None:
-    """Wait until one of some events or results is there, or the deadline."""
+def wait_any(events: list[Any], deadline: float, clock: Clock) -> None:
+    """Wait until one of the events or results is ready or the deadline passes."""
     left = deadline - clock.now()
     if left <= 0:
         return
     timer = gevent.spawn(clock.sleep, left)
-    gevent.wait([*waited, timer], count=1)
+    gevent.wait([*events, timer], count=1)
     timer.kill(block=False)
--- a/tests/test_loomyard/test_bounded_log.py
+++ b/tests/test_loomyard/test_bounded_log.py
@@ -1,4 +1,4 @@
-"""Tests of log lines that hold nobody up."""
+"""Tests of the log handler that never blocks and limits the bytes of log lines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import gevent
 
-from loomyard.bounded_log import MOST_LINES, REPORT_SECONDS, BoundedLogHandler
+from loomyard.bounded_log import MAX_QUEUED_LINES, REPORT_SECONDS, BoundedLogHandler
 from loomyard.events import Event
 from loomyard.logs import JsonFormatter
 from loomyard_standins.fake_clock import FakeClock
@@ -27,7 +27,7 @@
         fcntl.fcntl(self.write_end, fcntl.F_SETPIPE_SZ, PIPE_BYTES)
         os.set_blocking(self.read_end, False)
         self.clock = FakeClock()
-        self.handler = BoundedLogHandler(self.write_end, self.clock, ceiling=1000.0)
+        self.handler = BoundedLogHandler(self.write_end, self.clock, max_bytes_per_second=1000.0)
         self.handler.setFormatter(JsonFormatter())
 
     def log(self, event: Event, **fields: object) -> None:
@@ -45,7 +45,7 @@
             except BlockingIOError:
                 return [json.loads(line) for line in data.splitlines()]
 
-    def test_a_line_names_both_clocks(self) -> None:
+    def test_a_line_has_wall_time_and_monotonic_time(self) -> None:
         self.handler.start()
         self.log(Event.TARGET_DRAINS, target="t1")
         (line,) = self.lines()
@@ -53,19 +53,19 @@
         self.assertIn("steady", line)
         self.assertIn("time", line)
 
-    def test_an_output_that_nobody_reads_holds_nothing_up(self) -> None:
+    def test_an_output_that_is_not_read_does_not_block(self) -> None:
         self.handler.start()
-        for number in range(3 * MOST_LINES):
+        for number in range(3 * MAX_QUEUED_LINES):
             self.log(Event.ATTEMPT_FAILED, number=number)
         gevent.sleep(0.01)
-        self.assertGreaterEqual(self.handler.left_out, MOST_LINES)
+        self.assertGreaterEqual(self.handler.dropped, MAX_QUEUED_LINES)
         self.clock.advance(REPORT_SECONDS)
-        said = self.lines()
-        self.assertEqual(3 * MOST_LINES - 1, said[-2]["fields"].get("number"))
-        self.assertEqual(Event.LOG_LINES_LEFT_OUT.number, said[-1]["event"])
-        self.assertEqual(self.handler.left_out, said[-1]["fields"]["all"])
+        lines = self.lines()
+        self.assertEqual(3 * MAX_QUEUED_LINES - 1, lines[-2]["fields"].get("number"))
+        self.assertEqual(Event.LOG_LINES_LEFT_OUT.number, lines[-1]["event"])
+        self.assertEqual(self.handler.dropped, lines[-1]["fields"]["all"])
 
-    def test_successes_and_refusals_have_a_ceiling_each_and_failures_have_none(self) -> None:
+    def test_successes_and_refusals_have_a_rate_limit_each_and_failures_have_none(self) -> None:
         self.handler.start()
         for number in range(20):
             self.log(Event.REQUEST_ENDED, number=number, code=0, executed="yes")
@@ -77,17 +77,17 @@
         for code in (0, 2003):
             self.assertGreater(ended[code], 2)
             self.assertLess(ended[code], 10)
-        self.assertEqual(60 - ended.total(), self.handler.left_out)
+        self.assertEqual(60 - ended.total(), self.handler.dropped)
 
-    def test_a_line_that_is_left_out_is_not_formatted(self) -> None:
+    def test_a_dropped_line_is_not_formatted(self) -> None:
         formatted: list[logging.LogRecord] = []
-        form = self.handler.format
-        self.handler.format = lambda record: (formatted.append(record), form(record))[1]
+        format_line = self.handler.format
+        self.handler.format = lambda record: (formatted.append(record), format_line(record))[1]
         for number in range(50):
             self.log(Event.REQUEST_ENDED, number=number, code=2003, executed="no")
-        self.assertEqual(50 - self.handler.left_out, len(formatted))
+        self.assertEqual(50 - self.handler.dropped, len(formatted))
 
-    def test_a_ceiling_opens_again(self) -> None:
+    def test_a_rate_limit_gets_new_credit(self) -> None:
         self.handler.start()
         for _ in range(2):
             for number in range(20):
--- a/tests/test_loomyard/test_clock.py
+++ b/tests/test_loomyard/test_clock.py
@@ -1,7 +1,7 @@
-"""Tests of the clock that leases and deadlines hang on.
+"""Tests of the clock by which leases and deadlines are timed.
 
-A VM may be suspended for seconds. Its steady clock stands still meanwhile, so a lease or deadline
-that hangs on that clock outlives by the whole suspension what all other machines hold it to.
+A VM may be suspended for seconds. Its monotonic clock stops meanwhile, so a lease or deadline timed
+by that clock would outlast its expiry at all other routers by the length of the suspension.
 """
 
 from __future__ import annotations
@@ -15,37 +15,37 @@
 SUSPENDED = 7.5
 
 
-class SuspendedMachine:
-    """The clocks of a machine; the steady one does not count a suspension."""
+class SuspendedVm:
+    """The clocks of a VM; the monotonic one does not count a suspension."""
 
     def __init__(self) -> None:
         self.suspended = 0.0
 
-    def steady(self) -> float:
+    def monotonic(self) -> float:
         return 100.0
 
-    def read(self, which: int) -> float:
-        """Return what a clock of the kernel tells."""
-        counts = which in (time.CLOCK_BOOTTIME, time.CLOCK_REALTIME)
-        return self.steady() + self.suspended * counts
+    def clock_gettime(self, clock_id: int) -> float:
+        """Return the seconds of a clock of the kernel."""
+        counts = clock_id in (time.CLOCK_BOOTTIME, time.CLOCK_REALTIME)
+        return self.monotonic() + self.suspended * counts
 
 
 class SystemClockTest(unittest.TestCase):
-    def test_a_suspension_of_the_machine_counts(self) -> None:
-        machine = SuspendedMachine()
+    def test_a_suspension_of_the_vm_counts(self) -> None:
+        vm = SuspendedVm()
         with (
-            mock.patch("time.monotonic", machine.steady),
-            mock.patch("time.clock_gettime", machine.read),
+            mock.patch("time.monotonic", vm.monotonic),
+            mock.patch("time.clock_gettime", vm.clock_gettime),
         ):
             clock = SystemClock()
             before = clock.now()
-            machine.suspended = SUSPENDED
+            vm.suspended = SUSPENDED
             self.assertEqual(SUSPENDED, clock.now() - before)
 
-    def test_it_never_goes_back(self) -> None:
+    def test_time_never_decreases(self) -> None:
         clock = SystemClock()
-        seen = [clock.now() for _ in range(1000)]
-        self.assertEqual(sorted(seen), seen)
+        times = [clock.now() for _ in range(1000)]
+        self.assertEqual(sorted(times), times)
 
 
 if __name__ == "__main__":
--- a/tests/test_loomyard/test_collector.py
+++ b/tests/test_loomyard/test_collector.py
@@ -15,7 +15,7 @@
         self.addCleanup(gc.unfreeze)
         self.addCleanup(gc.enable)
 
-    def test_a_collector_that_was_held_off_is_back(self) -> None:
+    def test_a_collector_that_was_disabled_is_enabled_again(self) -> None:
         gc.disable()
         tune_collector()
         self.assertTrue(gc.isenabled())
--- a/tests/test_loomyard/test_configuration.py
+++ b/tests/test_loomyard/test_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of the fold of changes."""
+"""Tests of the fold of changes into the configuration state."""
 
 from __future__ import annotations
 
@@ -42,20 +42,20 @@
 
 
 class FoldTest(unittest.TestCase):
-    def test_a_racing_change_is_stale(self) -> None:
+    def test_the_second_of_two_concurrent_changes_is_stale(self) -> None:
         state, first = fold(ConfigState(), 0, put(1.0))
         state, second = fold(state, 1, put(2.0))
         self.assertEqual((first, second), (Verdict.ACCEPTED, Verdict.STALE))
         self.assertEqual(state.objects[REF].object.weight, 1.0)
         self.assertEqual((state.version, state.applied), (0, 1))
 
-    def test_a_change_based_on_the_last_is_accepted(self) -> None:
+    def test_a_change_based_on_the_current_version_is_accepted(self) -> None:
         state, _ = fold(ConfigState(), 4, put(1.0))
         state, verdict = fold(state, 9, put(2.0, based_on=4))
         self.assertIs(verdict, Verdict.ACCEPTED)
         self.assertEqual(state.objects[REF].object.weight, 2.0)
 
-    def test_deletion_names_its_version(self) -> None:
+    def test_a_deletion_must_name_the_current_version(self) -> None:
         state, _ = fold(ConfigState(), 0, put(1.0))
         stale = Change(change_id="d1", deletions=[Deletion(ref=REF, based_on=7)])
         state, verdict = fold(state, 1, stale)
@@ -71,7 +71,7 @@
         self.assertIs(verdict, Verdict.REPEATED)
         self.assertIs(again, state)
 
-    def test_records_survive_the_wire(self) -> None:
+    def test_records_are_decoded_as_encoded(self) -> None:
         change = put(2.5)
         self.assertEqual(decode(encode(change), Change).unwrap(), change)
 
@@ -91,8 +91,26 @@
     return ClientAccount(metadata=Metadata(name=name), key_digests=list(digests))
 
 
-WORDS = ["change_id", "puts", "deletions", "object", "ref", "kind", "metadata", "name", "labels"]
-WORDS += ["weight", "services", "key_digests", "based_on", "snapshot_of", "version", "operations"]
+FIELD_NAMES = [
+    "change_id",
+    "puts",
+    "deletions",
+    "object",
+    "ref",
+    "kind",
+    "metadata",
+    "name",
+    "labels",
+]
+FIELD_NAMES += [
+    "weight",
+    "services",
+    "key_digests",
+    "based_on",
+    "snapshot_of",
+    "version",
+    "operations",
+]
 
 
 class ValidationTest(unittest.TestCase):
@@ -107,13 +125,13 @@
         self.assertIn(detail, folded.decision.detail)
         self.assertEqual((folded.state.version, folded.state.applied), (1, 2))
 
-    def test_routes_and_targets_name_services_that_exist(self) -> None:
+    def test_routes_and_targets_must_name_services_that_exist(self) -> None:
         route = Route(metadata=Metadata(name="r"), service="none")
         self.assert_invalid(change(route), "Route/r: there is no Service/none")
         target = Target(metadata=Metadata(name="u"), url="http://u", services=["none"])
         self.assert_invalid(change(target), "Target/u: there is no Service/none")
 
-    def test_a_service_in_use_stays(self) -> None:
+    def test_a_service_that_is_referenced_cannot_be_deleted(self) -> None:
         service, route, target = (
             Deletion(ref=ref_of(item), based_on=0) for item in (SERVICE, ROUTE, TARGET)
         )
@@ -126,19 +144,19 @@
         both = (account("a", "cd" * 32), account("b", "cd" * 32))
         self.assert_invalid(change(*both), "ClientAccount/b: shares a key digest")
 
-    def test_a_key_moves_with_its_former_owner_in_one_change(self) -> None:
+    def test_a_key_can_move_to_another_account_in_one_change(self) -> None:
         puts = [Put(object=account("kiosk"), based_on=1), Put(object=account("labels", DIGEST))]
         state, verdict = fold(self.state, 2, Change(change_id="m", puts=puts))
         self.assertIs(verdict, Verdict.ACCEPTED)
         self.assertEqual(dict(state.key_owners), {DIGEST: ObjectRef("ClientAccount", "labels")})
 
-    def test_form(self) -> None:
+    def test_faults_that_do_not_depend_on_the_state(self) -> None:
         self.assert_invalid(change(account("a"), account("a")), "ClientAccount/a: named twice")
         self.assert_invalid(change(), "names no object")
         absent = Deletion(ref=REF, based_on=ABSENT)
         self.assert_invalid(change(deletions=(absent,)), "names no version")
 
-    def test_bytes_that_are_no_change_are_passed_over(self) -> None:
+    def test_records_that_are_no_change_are_skipped(self) -> None:
         for payload in (b"", b"\xff", encode(REF), b"\0" * (MAX_CHANGE_BYTES + 1)):
             folded = fold_record(self.state, 2, payload)
             self.assertIs(folded.decision.verdict, Verdict.INVALID)
@@ -148,26 +166,28 @@
 PLAIN = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
     lambda inner: st.lists(inner, max_size=3)
-    | st.dictionaries(st.sampled_from(WORDS) | st.text(max_size=4), inner, max_size=5),
+    | st.dictionaries(st.sampled_from(FIELD_NAMES) | st.text(max_size=4), inner, max_size=5),
     max_leaves=12,
 )
 
 
 class HostileRecordTest(unittest.TestCase):
-    """A record that raised would stop the followers of all routers at the same offset."""
+    """An exception in the fold would stop all routers at the same record of the log."""
 
     @settings(derandomize=True, max_examples=200, deadline=None)
     @given(st.binary(max_size=60) | PLAIN.map(cbor2.dumps))
-    def test_no_bytes_stop_the_fold(self, payload: bytes) -> None:
+    def test_no_bytes_raise_in_the_fold(self, payload: bytes) -> None:
         folded = fold_record(ConfigState(), 0, payload)
         self.assertEqual(folded.state.applied, 0)
 
     @settings(derandomize=True, max_examples=200, deadline=None)
     @given(st.data())
-    def test_no_field_stops_the_fold(self, data: st.DataObject) -> None:
+    def test_no_field_raises_in_the_fold(self, data: st.DataObject) -> None:
         plain = cbor2.loads(encode(change(SERVICE, ROUTE, TARGET, account("kiosk", DIGEST))))
         item = plain["puts"][data.draw(st.integers(0, 3))]["object"]
-        item[data.draw(st.sampled_from(sorted(item)) | st.sampled_from(WORDS))] = data.draw(PLAIN)
+        item[data.draw(st.sampled_from(sorted(item)) | st.sampled_from(FIELD_NAMES))] = data.draw(
+            PLAIN
+        )
         folded = fold_record(ConfigState(), 0, cbor2.dumps(plain))
         self.assertEqual(folded.state.applied, 0)
         Routing(folded.state)
@@ -204,7 +224,7 @@
 
 
 class DerivedStateTest(unittest.TestCase):
-    """What is kept up change by change equals what is made anew."""
+    """State that is updated change by change equals state built from all objects."""
 
     @settings(derandomize=True, max_examples=150, deadline=None)
     @given(STEPS)
@@ -224,15 +244,15 @@
                 before, accounts = routing, dict(routing.accounts)
                 routing = Routing(state, before, [ref])
                 self.assertEqual(dict(before.accounts), accounts)
-        anew = make_state(state.objects.values(), version=state.version, applied=state.applied)
-        self.assertEqual(anew, state)
-        self.assertEqual(anew.key_owners, state.key_owners)
-        whole = Routing(anew)
-        self.assertEqual(routing.accounts, whole.accounts)
+        rebuilt = make_state(state.objects.values(), version=state.version, applied=state.applied)
+        self.assertEqual(rebuilt, state)
+        self.assertEqual(rebuilt.key_owners, state.key_owners)
+        fresh = Routing(rebuilt)
+        self.assertEqual(routing.accounts, fresh.accounts)
         for name in "abc":
-            for kept in whole.accounts.values():
-                self.assertEqual(routing.find_route(kept, name), whole.find_route(kept, name))
-                found, expected = routing.resolve(kept, name), whole.resolve(kept, name)
+            for owner in fresh.accounts.values():
+                self.assertEqual(routing.find_route(owner, name), fresh.find_route(owner, name))
+                found, expected = routing.resolve(owner, name), fresh.resolve(owner, name)
                 self.assertEqual(found.is_ok(), expected.is_ok())
                 if found.is_ok():
                     names = [{t.metadata.name for t in r.unwrap()} for r in (found, expected)]
--- a/tests/test_loomyard/test_http_vm_list.py
+++ b/tests/test_loomyard/test_http_vm_list.py
@@ -1,4 +1,4 @@
-"""Tests of the VM list over HTTP."""
+"""Tests of the HTTP client of the VM list."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         server.vm_list.down = True
         self.assertEqual(client.read().unwrap_err().code, ResultCode.VM_LIST_UNAVAILABLE)
 
-    def test_a_list_that_is_down_or_malformed_is_a_fault(self) -> None:
+    def test_an_unreachable_or_malformed_list_is_a_fault(self) -> None:
         self.assertTrue(connect_vm_list("127.0.0.1:1").read().is_err())
         for body in (b"", b"{", b"7", b'[{"name": 1}]', b'[{"name": "a", "state": "odd"}]'):
             target = ScriptedTarget(
--- a/tests/test_loomyard/test_logs.py
+++ b/tests/test_loomyard/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of the formats of log lines."""
+"""Tests of the text and JSON formats of log lines."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
         record.event, record.fields = Event.REQUEST_REFUSED, fields
         return record
 
-    def test_text_keeps_an_event_in_one_line(self) -> None:
+    def test_text_escapes_line_breaks_of_fields(self) -> None:
         line = TextFormatter().format(self.record(path="/x\nERROR [1] forged"))
         self.assertIn("INFO [400] meaning path=/x\\nERROR", line)
         self.assertNotIn("\n", line)
 
-    def test_json(self) -> None:
+    def test_json_has_event_number_and_fields(self) -> None:
         document = json.loads(JsonFormatter().format(self.record(code=1001, odd=Event)))
         self.assertEqual((document["event"], document["fields"]["code"]), (400, 1001))
 
--- a/tests/test_loomyard/test_manifests.py
+++ b/tests/test_loomyard/test_manifests.py
@@ -1,4 +1,4 @@
-"""Tests of the reading of manifests."""
+"""Tests of the parsing and validation of manifests."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
             [(f.source, f.detail) for f in faults], [("d.yaml", "aliases are refused")]
         )
 
-    def test_reports_every_fault_with_its_place(self) -> None:
+    def test_reports_every_fault_with_source_object_and_field(self) -> None:
         faults = read_manifests([("b.yaml", BAD), ("c.yaml", "{")]).unwrap_err()
         places = [(fault.source, fault.object, fault.field) for fault in faults]
         self.assertIn(("b.yaml", "ClientAccount/Kiosk", "weight"), places)
--- a/tests/test_loomyard/test_rendezvous.py
+++ b/tests/test_loomyard/test_rendezvous.py
@@ -16,13 +16,13 @@
             self.assertEqual(choose(key, NAMES), choose(key, reversed(NAMES)))
             self.assertEqual(rank(key, NAMES)[0], choose(key, NAMES))
 
-    def test_only_keys_of_a_lost_name_move(self) -> None:
+    def test_only_keys_of_a_removed_name_move(self) -> None:
         for key in KEYS:
             before = choose(key, NAMES)
             after = choose(key, [name for name in NAMES if name != "router-3"])
             self.assertEqual(after, before if before != "router-3" else rank(key, NAMES)[1])
 
-    def test_spreads_evenly(self) -> None:
+    def test_keys_are_spread_evenly(self) -> None:
         counts = [sum(choose(key, NAMES) == name for key in KEYS) for name in NAMES]
         self.assertGreater(min(counts), 400 / 8 / 2)
         self.assertLess(max(counts), 400 / 8 * 2)
@@ -33,7 +33,7 @@
         expected = len(KEYS) * 4 / 11
         self.assertAlmostEqual(expected, first.count("router-3"), delta=expected / 4)
 
-    def test_only_keys_that_prefer_it_move_to_a_name_that_gains_weight(self) -> None:
+    def test_a_higher_weight_moves_keys_only_to_that_name(self) -> None:
         before = dict.fromkeys(NAMES, 1.0)
         after = before | {"router-3": 1.5}
         for key in KEYS:
--- a/tests/test_loomyard/test_selectors.py
+++ b/tests/test_loomyard/test_selectors.py
@@ -1,4 +1,4 @@
-"""Tests of the selectors."""
+"""Tests of label selectors."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         self.check("!tier", labels, False)
         self.check("!tier", {}, True)
 
-    def test_refuses_what_it_cannot_read(self) -> None:
+    def test_refuses_malformed_selectors(self) -> None:
         for text in ("=", "a in ()", "a in b", "a=(b)", "a,,b", "a in (b", "a=b c"):
             with self.subTest(text=text):
                 self.assertTrue(parse_selector(text).is_err())
--- a/tests/test_loomyard/test_settled_append.py
+++ b/tests/test_loomyard/test_settled_append.py
@@ -1,4 +1,4 @@
-"""Tests of an append whose answer may be lost."""
+"""Tests of appends whose answers are lost and that are confirmed by reading the stream."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class _DroppingLog(MemoryLog):
-    """A log whose answers are lost and whose records arrive only when released."""
+    """A log that loses answers and appends records only when released."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -42,25 +42,25 @@
             log, STREAM, payload, "id", lambda data: data == payload, 5.0, self.clock, **options
         )
 
-    def test_lost_answer_is_found_without_a_second_append(self) -> None:
+    def test_after_a_lost_answer_the_record_is_found_without_a_second_append(self) -> None:
         self.log.append(STREAM, b"other")
         self.log.lose_answers = 1
         self.assertEqual(self.append(self.log).unwrap(), 1)
         self.assertEqual(self.log.appends, 2)
 
-    def test_lost_answer_is_found_past_a_trimmed_start_and_many_pages(self) -> None:
+    def test_after_a_lost_answer_a_trimmed_stream_is_searched_page_by_page(self) -> None:
         for number in range(2500):
             self.log.append(STREAM, str(number).encode())
         self.log.trim(STREAM, 50)
         self.log.lose_answers = 1
         self.assertEqual(self.append(self.log).unwrap(), 2500)
 
-    def test_refused_append_is_certain(self) -> None:
+    def test_a_refused_append_was_not_executed(self) -> None:
         self.log.down = True
         fault = self.append(self.log).unwrap_err()
         self.assertEqual((fault.code, fault.executed), (ResultCode.LOG_UNAVAILABLE, Executed.NO))
 
-    def test_record_that_arrives_late_is_found(self) -> None:
+    def test_a_record_that_is_appended_late_is_found(self) -> None:
         log = _DroppingLog()
         task = gevent.spawn(self.append, log)
         gevent.sleep(0)
@@ -69,7 +69,7 @@
         self.clock.advance(1.0)
         self.assertEqual(task.get(timeout=1).unwrap(), 0)
 
-    def test_record_that_is_not_found_stays_unknown(self) -> None:
+    def test_the_outcome_is_unknown_if_the_record_is_not_found(self) -> None:
         task = gevent.spawn(self.append, _DroppingLog())
         while not task.ready():
             self.clock.advance(1.0)
--- a/tests/test_loomyard/test_snapshots.py
+++ b/tests/test_loomyard/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Tests of packed configurations."""
+"""Tests of the encoding of snapshots and of their reassembly from parts."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 
 class PackingTest(unittest.TestCase):
-    def test_parts_are_bounded_and_give_the_state_back(self) -> None:
+    def test_parts_are_limited_in_size_and_decode_to_the_state(self) -> None:
         state = state_of(120)
         parts = pack(state, part_bytes=256)
         self.assertGreater(len(parts), 5)
         self.assertLessEqual(max(len(part.data) for part in parts), 256)
         self.assertEqual(unpack(parts).unwrap(), state)
 
-    def test_damage_is_found(self) -> None:
+    def test_damaged_parts_are_refused(self) -> None:
         parts = pack(state_of(3))
         data = parts[0].data
         self.assertTrue(unpack((evolve(parts[0], data=data[:-1] + b"\0"),)).is_err())
@@ -61,13 +61,13 @@
             assembly.add(part)
         return [found[0].as_of for found in assembly.complete(least=least)]
 
-    def test_the_newest_complete_one_comes_first(self) -> None:
+    def test_the_newest_complete_snapshot_comes_first(self) -> None:
         old, middle, new = (pack(state_of(count), part_bytes=64) for count in (5, 6, 7))
-        doubled = [*new[:-1], *middle[::-1], *old, *middle]
-        self.assertEqual(self.collect(doubled, 0), [5, 4])
-        self.assertEqual(self.collect([*doubled, new[-1]], 5), [6, 5])
+        duplicated = [*new[:-1], *middle[::-1], *old, *middle]
+        self.assertEqual(self.collect(duplicated, 0), [5, 4])
+        self.assertEqual(self.collect([*duplicated, new[-1]], 5), [6, 5])
 
-    def test_parts_that_cannot_be_are_dropped(self) -> None:
+    def test_parts_with_index_or_count_out_of_range_are_dropped(self) -> None:
         part = pack(state_of(1))[0]
         wrong = [evolve(part, index=index) for index in (-1, 1, 10**9)]
         self.assertEqual(self.collect([*wrong, evolve(part, count=10**9)], 0), [])
