--- a/packages/loomyardctl/src/loomyardctl/__init__.py
+++ b/packages/loomyardctl/src/loomyardctl/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""The operators' command-line client of a loomyard fleet."""
--- a/packages/loomyardctl/src/loomyardctl/__main__.py
+++ b/packages/loomyardctl/src/loomyardctl/__main__.py
@@ -1,4 +1,4 @@
-"""The command ``loomyardctl``."""
+"""Entry point of the command ``loomyardctl``."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 def main() -> int:
-    """Run one command."""
+    """Run the command of the process arguments and return its exit code."""
     return run(sys.argv[1:], os.environ)
 
 
-def run(words: Sequence[str], environment: Mapping[str, str]) -> int:
-    """Run the command of some words and return its exit code."""
-    arguments = make_parser(environment).parse_args(list(words))
+def run(argv: Sequence[str], environment: Mapping[str, str]) -> int:
+    """Parse the arguments, run the command and return its exit code."""
+    arguments = make_parser(environment).parse_args(list(argv))
     try:
         client = _make_client(arguments)
     except OSError as error:
--- a/packages/loomyardctl/src/loomyardctl/arguments.py
+++ b/packages/loomyardctl/src/loomyardctl/arguments.py
@@ -1,4 +1,4 @@
-"""The command line: flags over environment variables over defaults."""
+"""The argument parser: flags take precedence over environment variables, these over defaults."""
 
 from __future__ import annotations
 
@@ -45,15 +45,15 @@
   3  no router or no log service can be reached; nothing was changed
   4  unsettled: an answer was lost and the change may or may not take effect
 
-A flag goes before the environment variable in brackets."""
+A flag takes precedence over the environment variable in brackets."""
 
 
 def make_parser(environment: Mapping[str, str]) -> argparse.ArgumentParser:
-    """Make the parser of all commands."""
+    """Make the argument parser with a subparser for each command."""
     shared = _make_shared(environment)
     parser = argparse.ArgumentParser(
         prog="loomyardctl",
-        description="Steer a loomyard fleet: publish manifests and see what the routers do.",
+        description="Control a loomyard fleet: publish manifests and inspect what the routers do.",
         epilog=EPILOG,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -79,25 +79,25 @@
         action="append",
         metavar="URL",
         default=None,
-        help="operators' address of a router; give more to try in turn"
-        f" [LOOMYARDCTL_ROUTER, by commas] (default: {DEFAULT_ROUTER})",
+        help="operators' address of a router; repeat it for routers to try in turn"
+        f" [LOOMYARDCTL_ROUTER, separated by commas] (default: {DEFAULT_ROUTER})",
     )
     shared.add_argument(
         "--key",
         default=environment.get("LOOMYARDCTL_KEY", ""),
-        help="operator key; better given by its variable [LOOMYARDCTL_KEY]",
+        help="operator key; preferably set by its variable [LOOMYARDCTL_KEY]",
     )
     shared.add_argument(
         "--ca-file",
         default=environment.get("LOOMYARDCTL_CA_FILE", ""),
-        help="certificates to trust for https [LOOMYARDCTL_CA_FILE]",
+        help="file of CA certificates to trust for https [LOOMYARDCTL_CA_FILE]",
     )
     shared.add_argument(
         "-o",
         "--output",
         choices=[output.value for output in OutputFormat],
         default=environment.get("LOOMYARDCTL_OUTPUT", OutputFormat.TABLE.value),
-        help="how to print (default: table) [LOOMYARDCTL_OUTPUT]",
+        help="output format (default: table) [LOOMYARDCTL_OUTPUT]",
     )
     routers = environment.get("LOOMYARDCTL_ROUTER", DEFAULT_ROUTER)
     shared.set_defaults(default_routers=[url.strip() for url in routers.split(",")])
--- a/packages/loomyardctl/src/loomyardctl/client.py
+++ b/packages/loomyardctl/src/loomyardctl/client.py
@@ -1,4 +1,4 @@
-"""The operators' interface of the routers, over HTTP."""
+"""HTTP client of the operators' interface of the routers."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
     from collections.abc import Sequence
     from ssl import SSLContext
 
-PREFIX = "/operators/v1/"
+API_PREFIX = "/operators/v1/"
 CONNECT_TIMEOUT = 3.0
 ANSWER_TIMEOUT = 75.0
 JSON_HEADERS = {"Content-Type": "application/json"}
 
 
 class OperatorsClient:
-    """Ask the first router that can be reached."""
+    """Client that sends each request to the first router that is reachable."""
 
     def __init__(
         self, urls: Sequence[str], key: str, author: str, context: SSLContext | None = None
@@ -32,11 +32,11 @@
         self._context = context
 
     def get(self, path: str) -> Result[Reply, Unanswered]:
-        """Read from any router."""
+        """Send a read to the routers in turn until one answers."""
         return self._try_all("GET", path, None)
 
     def post(self, path: str, document: Any = None) -> Result[Reply, Unanswered]:
-        """Send to one router; another is tried only while none was connected."""
+        """Send a change; another router is tried only if the request cannot have been received."""
         return self._try_all("POST", path, document)
 
     def _try_all(self, method: str, path: str, document: Any) -> Result[Reply, Unanswered]:
@@ -44,7 +44,7 @@
         for url in list(self._urls):
             match self._request(url, method, path, document):
                 case Ok(reply):
-                    self._prefer(url)
+                    self._move_to_front(url)
                     return Ok(reply)
                 case Err(unanswered):
                     failures.append(f"{url}: {unanswered.detail}")
@@ -53,8 +53,8 @@
         detail = "; ".join(failures)
         return Err(Unanswered(detail=detail, executed=Executed.NO))
 
-    def _prefer(self, url: str) -> None:
-        """Ask a router that answered first, so that a change goes where a read went."""
+    def _move_to_front(self, url: str) -> None:
+        """Try this router first from now on, so that a change goes to the router that was read."""
         self._urls.remove(url)
         self._urls.insert(0, url)
 
@@ -66,15 +66,15 @@
             client = self._connect(url)
             body = b"" if document is None else json.dumps(document).encode()
             response = client.request(
-                method, PREFIX + path, body=body, headers={**JSON_HEADERS, **self._headers}
+                method, API_PREFIX + path, body=body, headers={**JSON_HEADERS, **self._headers}
             )
             connected = True
-            return Ok(_read(response.status_code, bytes(response.read())))
+            return Ok(_parse_reply(response.status_code, bytes(response.read())))
         except (ConnectionRefusedError, ValueError) as error:
             executed = Executed.UNKNOWN if connected else Executed.NO
-            return Err(Unanswered(detail=_describe(error), executed=executed))
+            return Err(Unanswered(detail=_error_text(error), executed=executed))
         except Exception as error:  # a timeout or a reset: the request may have arrived
-            return Err(Unanswered(detail=_describe(error), executed=Executed.UNKNOWN))
+            return Err(Unanswered(detail=_error_text(error), executed=Executed.UNKNOWN))
 
     def _connect(self, url: str) -> HTTPClient:
         options: dict[str, Any] = {}
@@ -89,7 +89,7 @@
         )
 
 
-def _read(status: int, body: bytes) -> Reply:
+def _parse_reply(status: int, body: bytes) -> Reply:
     document = json.loads(body)
     code = document.get("code") if isinstance(document, dict) else None
     known = code if code in ResultCode.__members__.values() else None
@@ -98,5 +98,5 @@
     )
 
 
-def _describe(error: Exception) -> str:
+def _error_text(error: Exception) -> str:
     return str(error) or type(error).__name__
--- a/packages/loomyardctl/src/loomyardctl/commands/__init__.py
+++ b/packages/loomyardctl/src/loomyardctl/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands, one a module."""
+"""The subcommands, one in each module."""
--- a/packages/loomyardctl/src/loomyardctl/commands/apply.py
+++ b/packages/loomyardctl/src/loomyardctl/commands/apply.py
@@ -1,4 +1,4 @@
-"""Create and replace objects."""
+"""The subcommand ``apply``, which creates and replaces objects."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from result import Err, Ok, Result
 
 from loomyard.objects import Service
-from loomyardctl.commands.waiting import add_wait
+from loomyardctl.commands.wait_argument import add_wait_argument
 from loomyardctl.exit_codes import ExitCode
-from loomyardctl.failures import report_failure
+from loomyardctl.failure_report import report_failure
 from loomyardctl.manifest_files import read_files, report_faults
 from loomyardctl.plan import make_plan
 from loomyardctl.publishing import ACCEPTED, STALE, publish, report_outcome
@@ -30,29 +30,29 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Declare the arguments."""
+    """Add the arguments of the command to its parser."""
     parser.add_argument("files", nargs="+", help="manifest files, folders, or - for standard input")
     parser.add_argument(
         "--retry",
         type=int,
         default=0,
         metavar="TIMES",
-        help="when another operator was faster, compare and send again this many times;"
-        " manifests that name a version are never sent again (default: 0)",
+        help="retries after a conflict with a concurrent change, each with a new comparison;"
+        " manifests that contain a version are never retried (default: 0)",
     )
     parser.add_argument(
         "--parts",
         type=int,
         default=0,
         metavar="OBJECTS",
-        help="send sets too large for one change in changes of this many objects, services"
-        " first; each takes effect on its own, and the first that is rejected ends the command",
+        help="split sets that are too large for one change into changes of this many objects,"
+        " services first; each takes effect separately, the first rejected one ends the command",
     )
-    add_wait(parser)
+    add_wait_argument(parser)
 
 
 def run(context: Context) -> ExitCode:
-    """Apply manifests; nothing is sent where any of them has a fault."""
+    """Apply manifests; send nothing if any of them is not valid."""
     read = read_files(context.arguments.files)
     if read.is_err():
         report_faults(read.unwrap_err())
@@ -64,21 +64,21 @@
             return report_failure(planned.unwrap_err())
         plan = planned.unwrap()
         if not plan.puts:
-            print(f"nothing to change: {len(plan.unchanged)} objects are as they should be")
+            print(f"nothing to change: {len(plan.unchanged)} objects are up to date")
             return ExitCode.OK
         published = _publish(context, plan)
         if published.is_err():
             return report_failure(published.unwrap_err())
         outcome = published.unwrap()
-        if outcome["verdict"] != STALE or not tries_left or _names_versions(manifests):
+        if outcome["verdict"] != STALE or not tries_left or _have_versions(manifests):
             break
     return report_outcome(context, outcome)
 
 
 def _publish(context: Context, plan: Plan) -> Result[Outcome, Reply | Unanswered]:
-    """Publish the parts in turn and return the outcome of the last one sent."""
+    """Publish the changes of a plan in turn and return the outcome of the last one sent."""
     outcome: Outcome = {}
-    for puts in _parts(plan, context.arguments.parts):
+    for puts in _split_puts(plan, context.arguments.parts):
         documents = [{"object": put.after, "based_on": put.based_on} for put in puts]
         published = publish(context, puts=documents, deletions=[])
         if published.is_err():
@@ -89,7 +89,7 @@
     return Ok(outcome)
 
 
-def _parts(plan: Plan, size: int) -> Iterator[list[PlannedPut]]:
+def _split_puts(plan: Plan, size: int) -> Iterator[list[PlannedPut]]:
     if size <= 0:
         yield plan.puts
         return
@@ -98,5 +98,5 @@
         yield ordered[start : start + size]
 
 
-def _names_versions(manifests: list[Manifest]) -> bool:
+def _have_versions(manifests: list[Manifest]) -> bool:
     return any(manifest.version is not None for manifest in manifests)
--- a/packages/loomyardctl/src/loomyardctl/commands/command.py
+++ b/packages/loomyardctl/src/loomyardctl/commands/command.py
@@ -1,4 +1,4 @@
-"""The protocol of a command."""
+"""The protocol of a subcommand."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class Command(Protocol):
-    """A subcommand: a module with its ``NAME``, ``HELP`` and two functions."""
+    """A module of a subcommand with ``NAME``, ``HELP`` and two functions."""
 
     NAME: str
     HELP: str
 
     def add_arguments(self, parser: argparse.ArgumentParser) -> None:
-        """Declare the arguments."""
+        """Add the arguments of the command to its parser."""
 
     def run(self, context: Context) -> ExitCode:
-        """Run the command."""
+        """Run the command and return its exit code."""
--- a/packages/loomyardctl/src/loomyardctl/commands/delete.py
+++ b/packages/loomyardctl/src/loomyardctl/commands/delete.py
@@ -1,4 +1,4 @@
-"""Delete objects."""
+"""The subcommand ``delete``, which deletes objects."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 from attrs import asdict
 
-from loomyardctl.commands.references import read_ref
-from loomyardctl.commands.waiting import add_wait
+from loomyardctl.commands.references import parse_ref
+from loomyardctl.commands.wait_argument import add_wait_argument
 from loomyardctl.exit_codes import ExitCode
-from loomyardctl.failures import report_failure
+from loomyardctl.failure_report import report_failure
 from loomyardctl.plan import fetch_objects
 from loomyardctl.publishing import publish, report_outcome
 
@@ -24,19 +24,19 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Declare the arguments."""
-    parser.add_argument("refs", nargs="+", type=read_ref, metavar="KIND/NAME")
+    """Add the arguments of the command to its parser."""
+    parser.add_argument("refs", nargs="+", type=parse_ref, metavar="KIND/NAME")
     parser.add_argument(
         "--based-on",
         type=int,
         metavar="VERSION",
         help="delete only this version (default: the version in force)",
     )
-    add_wait(parser)
+    add_wait_argument(parser)
 
 
 def run(context: Context) -> ExitCode:
-    """Delete objects as one change."""
+    """Delete objects in one change; fail without a change if any of them does not exist."""
     refs, based_on = context.arguments.refs, context.arguments.based_on
     found = fetch_objects(context.client, refs)
     if found.is_err():
--- a/packages/loomyardctl/src/loomyardctl/commands/drain.py
+++ b/packages/loomyardctl/src/loomyardctl/commands/drain.py
@@ -1,4 +1,4 @@
-"""Let a target or a router leave."""
+"""The subcommand ``drain``, for targets and routers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from urllib.parse import quote
 
 from loomyardctl.exit_codes import ExitCode
-from loomyardctl.failures import report_failure
+from loomyardctl.failure_report import report_failure
 from loomyardctl.output import OutputFormat, print_document
 from loomyardctl.publishing import report_outcome
 
@@ -16,18 +16,18 @@
     from loomyardctl.context import Context
 
 NAME = "drain"
-HELP = "send a target no new work, or begin the planned stop of a router"
+HELP = "send no new work to a target, or begin the planned stop of a router"
 PATHS = {"target": "targets", "router": "routers"}
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Declare the arguments."""
+    """Add the arguments of the command to its parser."""
     parser.add_argument("what", choices=sorted(PATHS))
     parser.add_argument("name")
 
 
 def run(context: Context) -> ExitCode:
-    """Drain a target by a change of its state, a router by asking it."""
+    """Drain a target by a change of its state, or a router by a request to it."""
     what, name = context.arguments.what, context.arguments.name
     answered = context.client.post(f"{PATHS[what]}/{quote(name, safe='')}/drain")
     if answered.is_err():
--- a/packages/loomyardctl/src/loomyardctl/commands/explain.py
+++ b/packages/loomyardctl/src/loomyardctl/commands/explain.py
@@ -1,4 +1,4 @@
-"""Explain what was decided for a request."""
+"""The subcommand ``explain``, which prints the decisions for a request."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from urllib.parse import quote
 
 from loomyardctl.exit_codes import ExitCode
-from loomyardctl.failures import report_failure
+from loomyardctl.failure_report import report_failure
 from loomyardctl.output import OutputFormat, print_document, print_table
 
 if TYPE_CHECKING:
@@ -16,16 +16,16 @@
     from loomyardctl.context import Context
 
 NAME = "explain"
-HELP = "tell what was decided for a request and why"
+HELP = "show the decisions for a request and their reasons"
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Declare the arguments."""
+    """Add the arguments of the command to its parser."""
     parser.add_argument("request_id", metavar="REQUEST-ID")
 
 
 def run(context: Context) -> ExitCode:
-    """Print the steps of a request on every router that remembers it."""
+    """Print the steps of a request on every router that has a record of it."""
     answered = context.client.get(f"requests/{quote(context.arguments.request_id, safe='')}")
     if answered.is_err():
         return report_failure(answered.unwrap_err())
--- a/packages/loomyardctl/src/loomyardctl/commands/get.py
+++ b/packages/loomyardctl/src/loomyardctl/commands/get.py
@@ -1,4 +1,4 @@
-"""Show objects in force."""
+"""The subcommand ``get``, which prints objects in force."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING, Any
 from urllib.parse import urlencode
 
-from loomyardctl.commands.references import read_kind
+from loomyardctl.commands.references import parse_kind
 from loomyardctl.exit_codes import ExitCode
-from loomyardctl.failures import report_failure
+from loomyardctl.failure_report import report_failure
 from loomyardctl.output import OutputFormat, print_document, print_table
 from loomyardctl.plan import entry_ref
 
@@ -22,13 +22,13 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Declare the arguments."""
-    parser.add_argument("kind", nargs="?", type=read_kind, help="only objects of this kind")
+    """Add the arguments of the command to its parser."""
+    parser.add_argument("kind", nargs="?", type=parse_kind, help="only objects of this kind")
     parser.add_argument("name", nargs="?", help="only the object of this name")
 
 
 def run(context: Context) -> ExitCode:
-    """Print objects; as YAML they are manifests that name the version they are based on."""
+    """Print objects; in YAML as manifests with the version that they are based on."""
     kind, name = context.arguments.kind, context.arguments.name
     query = {"ref": f"{kind}/{name}"} if name else {"kind": kind} if kind else {}
     answered = context.client.get(f"objects?{urlencode(query)}")
--- a/packages/loomyardctl/src/loomyardctl/commands/restore.py
+++ b/packages/loomyardctl/src/loomyardctl/commands/restore.py
@@ -1,4 +1,4 @@
-"""Give a fleet whose log service forgot the configuration a new start."""
+"""The subcommand ``restore``, for a fleet whose log service lost the configuration."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from loomyard.codec import DOCUMENT_CODEC
 from loomyard.objects import ConfigObject
 from loomyardctl.exit_codes import ExitCode
-from loomyardctl.failures import report_failure
+from loomyardctl.failure_report import report_failure
 from loomyardctl.manifest_files import read_files, report_faults
 from loomyardctl.publishing import report_outcome
 
@@ -17,16 +17,16 @@
     from loomyardctl.context import Context
 
 NAME = "restore"
-HELP = "give a fleet whose log service forgot the configuration a new start"
+HELP = "restore the configuration after the log service lost it"
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Declare the arguments."""
+    """Add the arguments of the command to its parser."""
     parser.add_argument("files", nargs="+", help="manifests of all objects")
 
 
 def run(context: Context) -> ExitCode:
-    """Restore all objects; refused while any router that can be reached has a configuration."""
+    """Restore all objects; refused while any reachable router has a configuration."""
     read = read_files(context.arguments.files)
     if read.is_err():
         report_faults(read.unwrap_err())
--- a/packages/loomyardctl/src/loomyardctl/commands/status.py
+++ b/packages/loomyardctl/src/loomyardctl/commands/status.py
@@ -1,4 +1,4 @@
-"""Show the routers."""
+"""The subcommand ``status``, which prints the state of all routers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from attrs import frozen
 
 from loomyardctl.exit_codes import ExitCode
-from loomyardctl.failures import report_failure
+from loomyardctl.failure_report import report_failure
 from loomyardctl.output import OutputFormat, print_document, print_table
 
 if TYPE_CHECKING:
@@ -17,28 +17,28 @@
     from loomyardctl.context import Context
 
 NAME = "status"
-HELP = "show the routers: version in force, who lags, who is ready"
+HELP = "show the routers: version in force, lag and readiness"
 HEAD = ["ROUTER", "DATA CENTRE", "STATE", "VERSION", "APPLIED", "LAG", "LOG", "MEMBERS", "DIGEST"]
 DIGEST_DIGITS = 8
 
 
 @frozen
-class Newest:
-    """The newest version in the fleet and its digest."""
+class FleetVersion:
+    """The latest configuration version in the fleet and its digest."""
 
     version: int
     digest: str
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Declare the arguments."""
+    """Add the arguments of the command to its parser."""
     parser.add_argument(
         "--check", action="store_true", help="exit 1 unless all routers are ready and none lags"
     )
 
 
 def run(context: Context) -> ExitCode:
-    """Print how each router is and who does not answer."""
+    """Print the state of each router, and the routers that do not answer."""
     answered = context.client.get("status")
     if answered.is_err():
         return report_failure(answered.unwrap_err())
@@ -46,26 +46,26 @@
     if not reply.ok:
         return report_failure(reply)
     routers = reply.document.get("routers", [])
-    silent = reply.document.get("silent", [])
-    fleet = find_newest(routers)
+    unresponsive = reply.document.get("silent", [])
+    fleet = find_fleet_version(routers)
     if context.output is not OutputFormat.TABLE:
         print_document(reply.document, context.output)
     else:
         print_table(HEAD, [_row(router, fleet) for router in routers])
-        for laggard in silent:
-            print(f"{laggard['name']}: {laggard['detail']}")
-    healthy = not silent and all(_is_healthy(router, fleet) for router in routers)
+        for router in unresponsive:
+            print(f"{router['name']}: {router['detail']}")
+    healthy = not unresponsive and all(_is_healthy(router, fleet) for router in routers)
     return ExitCode.OK if healthy or not context.arguments.check else ExitCode.FAILED
 
 
-def find_newest(routers: list[dict[str, Any]]) -> Newest:
-    """Return the newest version and the digest that most routers have for it."""
+def find_fleet_version(routers: list[dict[str, Any]]) -> FleetVersion:
+    """Return the latest version and the digest that most routers have for it."""
     version = max((router.get("version", -1) for router in routers), default=-1)
     digests = [r.get("digest", "") for r in routers if r.get("version", -1) == version]
-    return Newest(version, Counter(digests).most_common(1)[0][0] if digests else "")
+    return FleetVersion(version, Counter(digests).most_common(1)[0][0] if digests else "")
 
 
-def _row(router: dict[str, Any], fleet: Newest) -> list[object]:
+def _row(router: dict[str, Any], fleet: FleetVersion) -> list[object]:
     return [
         router["name"],
         router.get("data_centre", "") or "-",
@@ -79,7 +79,7 @@
     ]
 
 
-def _lag(router: dict[str, Any], fleet: Newest) -> str:
+def _lag(router: dict[str, Any], fleet: FleetVersion) -> str:
     if router.get("version", -1) != fleet.version:
         return f"behind {fleet.version}"
     return "-" if router.get("digest", "") == fleet.digest else "differs"
@@ -91,5 +91,5 @@
     return "ready" if router.get("ready") else "not ready"
 
 
-def _is_healthy(router: dict[str, Any], fleet: Newest) -> bool:
+def _is_healthy(router: dict[str, Any], fleet: FleetVersion) -> bool:
     return _state(router) == "ready" and _lag(router, fleet) == "-"
--- a/packages/loomyardctl/src/loomyardctl/commands/targets.py
+++ b/packages/loomyardctl/src/loomyardctl/commands/targets.py
@@ -1,11 +1,11 @@
-"""Show the targets."""
+"""The subcommand ``targets``, which prints the targets as one router sees them."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from loomyardctl.exit_codes import ExitCode
-from loomyardctl.failures import report_failure
+from loomyardctl.failure_report import report_failure
 from loomyardctl.output import OutputFormat, print_document, print_table
 
 if TYPE_CHECKING:
@@ -14,16 +14,16 @@
     from loomyardctl.context import Context
 
 NAME = "targets"
-HELP = "show the targets as one router sees them: who gets new work, and why not"
+HELP = "show the targets as one router sees them: which get new work, and why not"
 HEAD = ["TARGET", "STANDING", "SLOTS", "CONFIGURED", "LOADED"]
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Declare the arguments."""
+    """Add the arguments of the command to its parser."""
 
 
 def run(context: Context) -> ExitCode:
-    """Print how each target stands."""
+    """Print standing, slots and loaded services of each target."""
     answered = context.client.get("targets")
     if answered.is_err():
         return report_failure(answered.unwrap_err())
--- a/packages/loomyardctl/src/loomyardctl/commands/validate.py
+++ b/packages/loomyardctl/src/loomyardctl/commands/validate.py
@@ -1,4 +1,4 @@
-"""Check manifests without a fleet."""
+"""The subcommand ``validate``, which checks manifests offline."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
     from loomyardctl.context import Context
 
 NAME = "validate"
-HELP = "check manifests without a fleet"
+HELP = "check manifests without a connection to the fleet"
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Declare the arguments."""
+    """Add the arguments of the command to its parser."""
     parser.add_argument("files", nargs="+", help="manifest files, folders, or - for standard input")
 
 
 def run(context: Context) -> ExitCode:
-    """Report every fault with file, object and field."""
+    """Validate manifests and print every fault with file, object and field."""
     match read_files(context.arguments.files):
         case Ok(manifests):
             print(f"{len(manifests)} objects are valid")
--- a/packages/loomyardctl/src/loomyardctl/context.py
+++ b/packages/loomyardctl/src/loomyardctl/context.py
@@ -1,4 +1,4 @@
-"""What a command works with."""
+"""The context that is passed to a command."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @frozen(kw_only=True)
 class Context:
-    """The client, the output format and the arguments of the command."""
+    """Client, output format and parsed arguments of one run of the command."""
 
     client: OperatorsClient
     output: OutputFormat
--- a/packages/loomyardctl/src/loomyardctl/exit_codes.py
+++ b/packages/loomyardctl/src/loomyardctl/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command."""
+"""Exit codes of ``loomyardctl``."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended."""
+    """Exit code; ``UNSETTLED`` means that the outcome of a change is not known."""
 
     OK = 0
     FAILED = 1
--- a/packages/loomyardctl/src/loomyardctl/failures.py
+++ b/packages/loomyardctl/src/loomyardctl/failure_report.py
@@ -1,4 +1,4 @@
-"""What a failed request means for the exit code."""
+"""Reports of failed requests and their exit codes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from loomyardctl.exit_codes import ExitCode
 from loomyardctl.reply import Reply, Unanswered
 
-_CODES = {
+_EXIT_CODES = {
     ResultCode.CHANGE_UNSETTLED: ExitCode.UNSETTLED,
     ResultCode.LOG_UNAVAILABLE: ExitCode.UNREACHABLE,
     ResultCode.INVALID_MANIFEST: ExitCode.USAGE,
@@ -17,7 +17,7 @@
 
 
 def report_failure(failure: Reply | Unanswered) -> ExitCode:
-    """Print why a request failed and return the exit code."""
+    """Print the reason of a failure to standard error and return the exit code."""
     match failure:
         case Unanswered(executed=Executed.NO):
             print(f"no router answers: {failure.detail}", file=sys.stderr)
@@ -27,4 +27,4 @@
             return ExitCode.UNSETTLED
         case Reply(code=code):
             print(failure.problem, file=sys.stderr)
-            return ExitCode.FAILED if code is None else _CODES.get(code, ExitCode.FAILED)
+            return ExitCode.FAILED if code is None else _EXIT_CODES.get(code, ExitCode.FAILED)
--- a/packages/loomyardctl/src/loomyardctl/manifest_files.py
+++ b/packages/loomyardctl/src/loomyardctl/manifest_files.py
@@ -1,4 +1,4 @@
-"""Manifests in files, folders and standard input."""
+"""Manifests read from files, folders and standard input."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def read_files(paths: Iterable[str]) -> Result[list[Manifest], list[FieldFault]]:
-    """Read the manifests of files, of folders and below, and of ``-``; report every fault."""
+    """Read manifests from files, folders (recursively) and ``-``; the error lists every fault."""
     sources: list[tuple[str, str]] = []
     faults: list[FieldFault] = []
     for path in _expand(paths):
@@ -38,7 +38,7 @@
 
 
 def report_faults(faults: Iterable[FieldFault]) -> None:
-    """Print faults with file, object and field."""
+    """Print faults with file, object and field to standard error."""
     for fault in faults:
         print(fault, file=sys.stderr)
 
--- a/packages/loomyardctl/src/loomyardctl/plan.py
+++ b/packages/loomyardctl/src/loomyardctl/plan.py
@@ -1,4 +1,4 @@
-"""What an apply would change."""
+"""Comparison of manifests with the configuration in force."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     from loomyardctl.client import OperatorsClient
     from loomyardctl.reply import Reply, Unanswered
 
-MOST_REFS_ASKED = 50
+MAX_QUERY_REFS = 50
 
 
 @frozen(kw_only=True)
 class PlannedPut:
-    """An object to be created or replaced, as plain data."""
+    """An object to be created or replaced, as plain data before and after."""
 
     ref: ObjectRef
     before: dict[str, Any] | None
@@ -38,7 +38,7 @@
 
 @frozen(kw_only=True)
 class Plan:
-    """The puts of an apply and the objects that are as they should be."""
+    """The puts of an apply, and the references of objects that need no change."""
 
     puts: list[PlannedPut] = field(factory=list)
     unchanged: list[ObjectRef] = field(factory=list)
@@ -47,9 +47,9 @@
 def make_plan(
     client: OperatorsClient, manifests: Sequence[Manifest]
 ) -> Result[Plan, Reply | Unanswered]:
-    """Compare manifests with what is in force.
+    """Compare manifests with the objects in force.
 
-    A put is based on the version its manifest names, or else on the version in force.
+    A put is based on the version in its manifest, or the version in force if it has none.
     """
     refs = [ref_of(manifest.object) for manifest in manifests]
     found = fetch_objects(client, refs)
@@ -62,13 +62,13 @@
         if entry is not None and entry["object"] == after and _is_current(manifest, entry):
             plan.unchanged.append(ref)
             continue
-        present = ABSENT if entry is None else entry["version"]
+        current = ABSENT if entry is None else entry["version"]
         plan.puts.append(
             PlannedPut(
                 ref=ref,
                 before=None if entry is None else entry["object"],
                 after=after,
-                based_on=present if manifest.version is None else manifest.version,
+                based_on=current if manifest.version is None else manifest.version,
             )
         )
     return Ok(plan)
@@ -77,9 +77,12 @@
 def fetch_objects(
     client: OperatorsClient, refs: Sequence[ObjectRef]
 ) -> Result[dict[ObjectRef, dict[str, Any]], Reply | Unanswered]:
-    """Return the entries of objects by reference; those that do not exist are missing."""
-    few = len(refs) <= MOST_REFS_ASKED
-    query = "?" + urlencode([("ref", str(ref)) for ref in refs]) if few else ""
+    """Fetch the entries of objects by reference, without those that do not exist.
+
+    For more than ``MAX_QUERY_REFS`` references all objects are fetched.
+    """
+    as_query = len(refs) <= MAX_QUERY_REFS
+    query = "?" + urlencode([("ref", str(ref)) for ref in refs]) if as_query else ""
     answered = client.get("objects" + query)
     if answered.is_err():
         return Err(answered.unwrap_err())
@@ -90,7 +93,7 @@
 
 
 def entry_ref(entry: dict[str, Any]) -> ObjectRef:
-    """Return the reference of an object entry."""
+    """Return the reference to the object of an entry."""
     item = entry["object"]
     return ObjectRef(item["kind"], item["metadata"]["name"])
 
--- a/packages/loomyardctl/src/loomyardctl/publishing.py
+++ b/packages/loomyardctl/src/loomyardctl/publishing.py
@@ -1,4 +1,4 @@
-"""Send a change and learn what came of it."""
+"""Publication of a change and the report of its outcome."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
     from loomyardctl.context import Context
 
 CHANGE_ID_BYTES = 16
-SETTLE_TRIES = 10
-SETTLE_PAUSE = 0.5
+OUTCOME_POLLS = 10
+OUTCOME_POLL_SECONDS = 0.5
 ACCEPTED = "accepted"
 STALE = "stale"
 
 
 def find_author() -> str:
-    """Return who runs the command."""
+    """Return the name of the operating system user, empty if it is not known."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
@@ -37,7 +37,7 @@
 def publish(
     context: Context, *, puts: list[dict[str, Any]], deletions: list[dict[str, Any]]
 ) -> Result[dict[str, Any], Reply | Unanswered]:
-    """Send one change; after a lost answer ask for it by its id instead of sending it again."""
+    """Send one change; after a lost answer poll its outcome by its id, never send it again."""
     change_id = secrets.token_hex(CHANGE_ID_BYTES)
     document = {
         "change_id": change_id,
@@ -51,15 +51,15 @@
         return Err(answered.unwrap_err())
     reply = answered.ok()
     if reply is None or reply.code is ResultCode.CHANGE_UNSETTLED:
-        reply = _find_settled(context.client, change_id)
+        reply = _poll_outcome(context.client, change_id)
     if reply is None:
-        detail = f"change {change_id} may or may not take effect; ask again before repeating it"
+        detail = f"change {change_id} may or may not take effect; check before you repeat it"
         return Err(Unanswered(detail=detail, executed=Executed.UNKNOWN))
     return Ok(reply.document) if reply.code is None else Err(reply)
 
 
 def report_outcome(context: Context, outcome: dict[str, Any]) -> ExitCode:
-    """Print what came of a change and return the exit code."""
+    """Print the outcome of a change and return the exit code."""
     accepted = outcome["verdict"] == ACCEPTED
     if context.output is not OutputFormat.TABLE:
         print_document(outcome, context.output)
@@ -76,14 +76,14 @@
     in_force, lagging = outcome.get("in_force", []), outcome.get("lagging", [])
     print(f"accepted as version {outcome['offset']}")
     print(f"in force on {len(in_force)} routers: {', '.join(in_force)}")
-    for laggard in lagging:
-        print(f"not yet on {laggard['name']}: {laggard['detail']}")
+    for router in lagging:
+        print(f"not yet on {router['name']}: {router['detail']}")
 
 
-def _find_settled(client: OperatorsClient, change_id: str) -> Reply | None:
-    for _ in range(SETTLE_TRIES):
+def _poll_outcome(client: OperatorsClient, change_id: str) -> Reply | None:
+    for _ in range(OUTCOME_POLLS):
         reply = client.get(f"changes/{change_id}").ok()
         if reply is not None and reply.code is None:
             return reply
-        time.sleep(SETTLE_PAUSE)
+        time.sleep(OUTCOME_POLL_SECONDS)
     return None
--- a/packages/loomyardctl/src/loomyardctl/reply.py
+++ b/packages/loomyardctl/src/loomyardctl/reply.py
@@ -1,4 +1,4 @@
-"""What a router answered, or that none did."""
+"""The answer of a router, or the failure to get one."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @frozen(kw_only=True)
 class Reply:
-    """The JSON answer of a router; ``code`` where it is a problem document."""
+    """The JSON answer of a router; ``code`` is set if it is a problem document."""
 
     status: int
     document: Any
@@ -24,14 +24,14 @@
 
     @property
     def problem(self) -> str:
-        """Describe a problem document."""
+        """The title, detail and result code of a problem document in one line."""
         number = "" if self.code is None else f" [{self.code:d}]"
         return f"{self.document.get('title', 'failed')}: {self.document.get('detail', '')}{number}"
 
 
 @frozen(kw_only=True)
 class Unanswered:
-    """No router answered; ``executed`` says whether one may have acted."""
+    """The failure to get an answer; ``executed`` states whether a router may have acted."""
 
     detail: str
     executed: Executed
--- a/tests/test_loomyardctl/test_client.py
+++ b/tests/test_loomyardctl/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of the client over TLS."""
+"""Tests of the client with TLS."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from loomyardctl.exit_codes import ExitCode
 
 KEY = "key-operator"
-LIFE = datetime.timedelta(days=1)
+VALIDITY = datetime.timedelta(days=1)
 
 
 def write_certificate(folder: Path, name: str) -> tuple[str, str]:
-    """Write a certificate of 127.0.0.1 that signs itself, and its key."""
+    """Write a self-signed certificate of 127.0.0.1 and its key; return their paths."""
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
     now = datetime.datetime.now(datetime.UTC)
@@ -38,8 +38,8 @@
         .issuer_name(subject)
         .public_key(key.public_key())
         .serial_number(x509.random_serial_number())
-        .not_valid_before(now - LIFE)
-        .not_valid_after(now + LIFE)
+        .not_valid_before(now - VALIDITY)
+        .not_valid_after(now + VALIDITY)
         .add_extension(address, critical=False)
         .sign(key, hashes.SHA256())
     )
@@ -56,11 +56,11 @@
 
 
 class TlsTest(unittest.TestCase):
-    def test_only_a_trusted_certificate_is_spoken_to(self) -> None:
+    def test_routers_with_untrusted_certificates_are_refused(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         certificate, private_key = write_certificate(Path(folder.name), "router")
-        stranger, _ = write_certificate(Path(folder.name), "stranger")
+        untrusted, _ = write_certificate(Path(folder.name), "stranger")
         log = LogServer(MemoryLog())
         log.start()
         self.addCleanup(log.stop)
@@ -79,12 +79,12 @@
         self.addCleanup(router.stop)
         url = f"https://127.0.0.1:{router.operators.port}"
         environment = {"LOOMYARDCTL_KEY": KEY, "LOOMYARDCTL_ROUTER": url}
-        quiet = io.StringIO()
-        with contextlib.redirect_stdout(quiet), contextlib.redirect_stderr(quiet):
-            trusted = run(["get", "--ca-file", certificate], environment)
-            strange = run(["get", "--ca-file", stranger], environment)
-        self.assertEqual((trusted, strange), (ExitCode.OK, ExitCode.UNREACHABLE))
-        self.assertIn("certificate verify failed", quiet.getvalue())
+        output = io.StringIO()
+        with contextlib.redirect_stdout(output), contextlib.redirect_stderr(output):
+            accepted = run(["get", "--ca-file", certificate], environment)
+            refused = run(["get", "--ca-file", untrusted], environment)
+        self.assertEqual((accepted, refused), (ExitCode.OK, ExitCode.UNREACHABLE))
+        self.assertIn("certificate verify failed", output.getvalue())
 
 
 if __name__ == "__main__":
--- a/tests/test_loomyardctl/test_status.py
+++ b/tests/test_loomyardctl/test_status.py
@@ -1,4 +1,4 @@
-"""Tests of the judgement of a fleet's status."""
+"""Tests of the fleet status and of ``--check``."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 class StatusTest(unittest.TestCase):
-    def call(self, *routers: dict[str, Any], silent: tuple[str, ...] = ()) -> tuple[int, str]:
-        gone = [{"name": name, "detail": "does not answer"} for name in silent]
-        reply = Reply(status=200, document={"routers": list(routers), "silent": gone})
+    def call(self, *routers: dict[str, Any], unresponsive: tuple[str, ...] = ()) -> tuple[int, str]:
+        unanswered = [{"name": name, "detail": "does not answer"} for name in unresponsive]
+        reply = Reply(status=200, document={"routers": list(routers), "silent": unanswered})
 
         class Client:
             def get(self, path: str) -> Any:
@@ -36,23 +36,23 @@
             code = status.run(context)
         return int(code), out.getvalue()
 
-    def test_a_fleet_that_agrees(self) -> None:
+    def test_a_fleet_with_equal_versions_and_digests_passes_the_check(self) -> None:
         self.assertEqual(self.call(router("a"), router("b"))[0], 0)
 
-    def test_who_lags_differs_or_is_silent_is_named(self) -> None:
-        good = [router("a"), router("b")]
+    def test_routers_that_lag_differ_or_do_not_answer_fail_the_check(self) -> None:
+        healthy = [router("a"), router("b")]
         cases = {
             r"c .* behind 7 ": router("c", version=6),
             r"c .* differs ": router("c", digest="bb"),
             r"c .* not ready ": router("c", ready=False),
             r"c .* stopping ": router("c", stopping=True),
         }
-        for pattern, odd in cases.items():
+        for pattern, faulty in cases.items():
             with self.subTest(pattern=pattern):
-                code, out = self.call(*good, odd)
+                code, out = self.call(*healthy, faulty)
                 self.assertEqual(code, 1)
                 self.assertRegex(out, pattern)
-        code, out = self.call(*good, silent=("c",))
+        code, out = self.call(*healthy, unresponsive=("c",))
         self.assertEqual(code, 1)
         self.assertIn("c: does not answer", out)
 
