--- a/packages/loomyard/src/loomyard/bounded_log.py
+++ b/packages/loomyard/src/loomyard/bounded_log.py
@@ -21,8 +21,8 @@
 # A few seconds of lines while the reader of the output stalls; the oldest are dropped first.
 MAX_QUEUED_LINES = 4000
 # Limit for the lines of successful requests, and another of the same size for those of requests
-# that were refused without running: about 60 lines a second each. A burst of requests would write
-# hundreds, which costs half a core. All other lines, such as those of failures, have no limit.
+# that were refused without running: about 60 lines a second each, of the hundreds that a burst of
+# requests would write on half a core. Other lines, such as those of failures, have no limit.
 MAX_BYTES_PER_SECOND = 24_000.0
 REPORT_SECONDS = 5.0
 
--- a/packages/loomyard/src/loomyard/errors.py
+++ b/packages/loomyard/src/loomyard/errors.py
@@ -97,7 +97,7 @@
 class Fault:
     """A failure: result code, human-readable detail and whether the target ran the request.
 
-    ``retry_after`` is in seconds, ``None`` if no later attempt is advised.
+    ``retry_after`` is in seconds, ``None`` if a later attempt would not help.
     """
 
     code: ResultCode
--- a/packages/loomyard/src/loomyard/events.py
+++ b/packages/loomyard/src/loomyard/events.py
@@ -73,7 +73,7 @@
     TARGET_VANISHED = (606, logging.INFO, "a target's announcement is gone")
     ENTRY_UNREADABLE = (607, logging.ERROR, "an entry of a feed or store can't be decoded")
     TARGET_REBORN = (608, logging.INFO, "a target restarted under the same id")
-    OLD_LIFE_IGNORED = (609, logging.INFO, "an announcement of an earlier incarnation")
+    OLD_LIFE_IGNORED = (609, logging.INFO, "an announcement of an earlier incarnation was ignored")
     DATA_CENTRE_EMPTIED = (620, logging.WARNING, "an operator evacuated a data centre")
     DATA_CENTRE_TAKEN_BACK = (621, logging.INFO, "an evacuated data centre is in use again")
     TARGET_SAYS_LEAVING = (622, logging.INFO, "a target reports in an answer that it is leaving")
--- a/packages/loomyard/src/loomyard/outside/http_log.py
+++ b/packages/loomyard/src/loomyard/outside/http_log.py
@@ -20,7 +20,7 @@
 CONNECT_TIMEOUT = 1.0
 ANSWER_TIMEOUT = 5.0
 READ_TIMEOUT = READ_WAIT + READ_ANSWER_SECONDS
-CONCURRENCY = 64
+MAX_CONNECTIONS = 64
 HTTP_OK = 200
 HTTP_UNAVAILABLE = 503
 
@@ -72,7 +72,7 @@
     return make_http_client(
         host,
         port,
-        concurrency=CONCURRENCY,
+        concurrency=MAX_CONNECTIONS,
         connection_timeout=CONNECT_TIMEOUT,
         network_timeout=timeout,
     )
--- a/packages/loomyard/src/loomyard/outside/http_weight_store.py
+++ b/packages/loomyard/src/loomyard/outside/http_weight_store.py
@@ -19,8 +19,8 @@
 
 CONNECT_TIMEOUT = 1.0
 ANSWER_TIMEOUT = 2.0
-RETRY_AFTER = 5.0
-MAX_RETRY_AFTER = 300.0
+DEFAULT_RETRY_AFTER_SECONDS = 5.0
+MAX_RETRY_AFTER_SECONDS = 300.0
 HTTP_OK = 200
 
 
@@ -49,11 +49,11 @@
             response = self._client.post(f"/reservations/{model}")
             body = bytes(response.read())
             if response.status_code != HTTP_OK:
-                retry_after = float(str(response.get("retry-after") or RETRY_AFTER))
+                retry_after = float(str(response.get("retry-after") or DEFAULT_RETRY_AFTER_SECONDS))
                 return Err(_limited(f"status {response.status_code}", retry_after))
             reservation = CODEC.structure(json.loads(body), Reservation)
         except Exception as error:  # sockets, JSON and conversion raise many types
-            return Err(_limited(f"{type(error).__name__}: {error}", RETRY_AFTER))
+            return Err(_limited(f"{type(error).__name__}: {error}", DEFAULT_RETRY_AFTER_SECONDS))
         return Ok(self._clock.now() + max(0.0, reservation.wait_seconds))
 
 
@@ -66,5 +66,5 @@
     return Fault(
         code=ResultCode.WEIGHT_STORE_LIMITED,
         detail=detail,
-        retry_after=min(max(0.0, retry_after), MAX_RETRY_AFTER),
+        retry_after=min(max(0.0, retry_after), MAX_RETRY_AFTER_SECONDS),
     )
--- a/packages/loomyard/src/loomyard/outside/log_service.py
+++ b/packages/loomyard/src/loomyard/outside/log_service.py
@@ -38,7 +38,7 @@
 class LogService(Protocol):
     """Client of the log service.
 
-    Errors of ``append``: ``LOG_UNAVAILABLE`` (not appended), ``LOG_ANSWER_LOST`` (not known).
+    Errors of ``append``: ``LOG_UNAVAILABLE`` (not appended), ``LOG_ANSWER_LOST`` (unknown).
     Errors of ``read``: ``LOG_UNAVAILABLE``.
     """
 
--- a/packages/loomyard/src/loomyard/outside/settled_append.py
+++ b/packages/loomyard/src/loomyard/outside/settled_append.py
@@ -36,9 +36,9 @@
 ) -> Result[int, Fault]:
     """Append once and return the offset; after a lost answer search the stream for the record.
 
-    ``is_match`` returns whether a payload has ``record_id``; the search starts at offset ``since``.
-    The append is never repeated: its request may still be in transit, so the absence of the record
-    does not prove that it failed.
+    ``is_match`` returns whether a payload has ``record_id``; the search starts at ``since``, an
+    offset that was read before the append. The append is never repeated: its request may still be
+    in transit, so the absence of the record does not prove that it failed.
 
     Errors: ``LOG_UNAVAILABLE`` (not appended), ``LOG_ANSWER_LOST`` (not found by the deadline;
     it may still appear).
--- a/tests/test_loomyard/test_configuration.py
+++ b/tests/test_loomyard/test_configuration.py
@@ -91,26 +91,8 @@
     return ClientAccount(metadata=Metadata(name=name), key_digests=list(digests))
 
 
-FIELD_NAMES = [
-    "change_id",
-    "puts",
-    "deletions",
-    "object",
-    "ref",
-    "kind",
-    "metadata",
-    "name",
-    "labels",
-]
-FIELD_NAMES += [
-    "weight",
-    "services",
-    "key_digests",
-    "based_on",
-    "snapshot_of",
-    "version",
-    "operations",
-]
+FIELDS = ["change_id", "puts", "deletions", "object", "ref", "kind", "metadata", "name", "labels"]
+FIELDS += ["weight", "services", "key_digests", "based_on", "snapshot_of", "version", "operations"]
 
 
 class ValidationTest(unittest.TestCase):
@@ -166,7 +148,7 @@
 PLAIN = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
     lambda inner: st.lists(inner, max_size=3)
-    | st.dictionaries(st.sampled_from(FIELD_NAMES) | st.text(max_size=4), inner, max_size=5),
+    | st.dictionaries(st.sampled_from(FIELDS) | st.text(max_size=4), inner, max_size=5),
     max_leaves=12,
 )
 
@@ -185,9 +167,7 @@
     def test_no_field_raises_in_the_fold(self, data: st.DataObject) -> None:
         plain = cbor2.loads(encode(change(SERVICE, ROUTE, TARGET, account("kiosk", DIGEST))))
         item = plain["puts"][data.draw(st.integers(0, 3))]["object"]
-        item[data.draw(st.sampled_from(sorted(item)) | st.sampled_from(FIELD_NAMES))] = data.draw(
-            PLAIN
-        )
+        item[data.draw(st.sampled_from(sorted(item)) | st.sampled_from(FIELDS))] = data.draw(PLAIN)
         folded = fold_record(ConfigState(), 0, cbor2.dumps(plain))
         self.assertEqual(folded.state.applied, 0)
         Routing(folded.state)
