--- a/packages/loomyard-router/src/loomyard_router/platform/__init__.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its wire decoded once into the router's own types."""
+"""The adapter to the users' platform: decodes its formats into the router's own types."""
--- a/packages/loomyard-router/src/loomyard_router/platform/__main__.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/__main__.py
@@ -1,11 +1,11 @@
-"""The router as a process of the platform."""
+"""The entry point of a router that runs as a process of the platform."""
 
 from __future__ import annotations
 
 import gc
 
-# What is imported stays; to look for garbage in it meanwhile is an eighth of the processor time of
-# a start (0.352 to 0.307 s on a busy machine). ``tune_collector`` ends that.
+# Imported objects live as long as the process; collecting among them takes an eighth of the
+# processor time of a start. ``tune_collector`` turns the collector on again.
 gc.disable()
 
 from gevent import monkey  # noqa: E402
@@ -41,12 +41,12 @@
 from loomyard_router.routed_application import RoutedApplication, RoutedPlatform  # noqa: E402
 
 EXIT_SETTINGS = 2
-# Within what the grace leaves for the end of the process.
+# Fits into the margin that a graceful shutdown leaves of the grace period (``GRACE_MARGIN``).
 FLUSH_SECONDS = 0.2
 
 
 def main() -> int:
-    """Run a router until it is told to stop."""
+    """Run a router until a signal stops it; return the exit status."""
     match read_settings(os.environ):
         case Err(detail):
             print(detail, file=sys.stderr)
@@ -54,9 +54,9 @@
         case Ok(settings):
             pass
     clock = SystemClock()
-    lines = BoundedLogHandler(sys.stdout.fileno(), clock)
-    use_handler(lines, JSON)
-    lines.start()
+    log_handler = BoundedLogHandler(sys.stdout.fileno(), clock)
+    use_handler(log_handler, JSON)
+    log_handler.start()
     era = StoreEra()
     application = RoutedApplication(
         settings,
@@ -79,13 +79,13 @@
     stopping = GeventEvent()
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, stopping.set)
-    watch = SettingsWatch(os.environ, clock, application.adopt)
-    gevent.signal_handler(signal.SIGHUP, watch.reload)
-    watch.start()
+    settings_watch = SettingsWatch(os.environ, clock, application.adopt)
+    gevent.signal_handler(signal.SIGHUP, settings_watch.reload)
+    settings_watch.start()
     application.start()
     stopping.wait()
     application.drain()
-    lines.flush_now(clock.now() + FLUSH_SECONDS)
+    log_handler.flush_now(clock.now() + FLUSH_SECONDS)
     return 0
 
 
--- a/packages/loomyard-router/src/loomyard_router/platform/callers.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/callers.py
@@ -1,4 +1,4 @@
-"""Callers as they speak on the platform."""
+"""The codec of requests from callers of the platform and of refusals to them."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     from collections.abc import Mapping
 
 MILLISECONDS = 1000.0
-DEFAULT_SECONDS = 30.0
-# What the caller's own request makes wrong keeps its status; it never reached a target.
+DEFAULT_DEADLINE_SECONDS = 30.0
+# Faults of the request itself, which never reached a target, keep their own status codes.
 CALLER_CODES = frozenset(
     [
         ResultCode.MALFORMED_REQUEST,
@@ -28,8 +28,8 @@
         ResultCode.UNKNOWN_PATH,
     ]
 )
-# Headers of one connection, and those that the router reads and words anew or keeps for itself.
-NOT_PASSED = frozenset(
+# Hop-by-hop headers, and headers that the router writes itself or that end at it.
+NOT_FORWARDED = frozenset(
     name.lower()
     for name in (
         "Connection",
@@ -47,10 +47,10 @@
         names.LAST_EVENT_ID,
     )
 )
-# What of the platform's own headers a caller sets for a target: exactly as the caller sent it, also
-# where its ``Connection`` names it. Every other one, also those that a later platform adds, orders
-# something of a target (a reserved slot, a pinned prompt, another's memory) and is the router's.
-SET_BY_CALLERS = frozenset(
+# The platform headers that callers may set for a target; forwarded unchanged, even if a
+# ``Connection`` header names them. All other platform headers, known or not, are instructions to a
+# target (reserve a slot, pin a prompt, use another target's memory) that only a router may give.
+FORWARDED_PLATFORM_HEADERS = frozenset(
     name.lower()
     for name in (
         names.ATTEMPT_ID,
@@ -62,17 +62,17 @@
 )
 
 
-def _line(name: str, value: str) -> re.Pattern[bytes]:
+def _header_pattern(name: str, value: str) -> re.Pattern[bytes]:
     return re.compile(rf"\r\n{name}:[ \t]*{value}".encode(), re.IGNORECASE)
 
 
-ID_LINE = _line(names.ATTEMPT_ID, r"([^ \t\r]+)")
-KEY_LINE = _line(names.AUTHORIZATION, rf"{names.KEY_SCHEME.strip()}[ \t]+([^ \t\r]+)")
-PROMPT_LINE = _line(names.PROMPT_PARTS, "")
+ID_PATTERN = _header_pattern(names.ATTEMPT_ID, r"([^ \t\r]+)")
+KEY_PATTERN = _header_pattern(names.AUTHORIZATION, rf"{names.KEY_SCHEME.strip()}[ \t]+([^ \t\r]+)")
+PROMPT_PATTERN = _header_pattern(names.PROMPT_PARTS, "")
 
 
 class PlatformCallers:
-    """The ``CallerDialect`` of the platform."""
+    """The ``CallerCodec`` of the platform."""
 
     id_header = names.ATTEMPT_ID
 
@@ -86,14 +86,14 @@
         try:
             return Ok(self._decode(attempt_id, fields, headers, now))
         except ValueError as error:
-            return Err(_malformed(f"a header can't be read: {error}"))
+            return Err(_malformed(f"unreadable header: {error}"))
 
     def preview_head(self, head: bytes) -> HeadPreview:
-        attempt_id, key = ID_LINE.search(head), KEY_LINE.search(head)
+        attempt_id, key = ID_PATTERN.search(head), KEY_PATTERN.search(head)
         return HeadPreview(
             attempt_id=attempt_id[1].decode("latin-1") if attempt_id else "",
             key=key[1].decode("latin-1") if key else "",
-            has_prompt=PROMPT_LINE.search(head) is not None,
+            has_prompt=PROMPT_PATTERN.search(head) is not None,
         )
 
     def encode_refusal(self, fault: Fault) -> tuple[int, list[tuple[str, str]]]:
@@ -115,20 +115,22 @@
         now: float,
     ) -> RequestHead:
         milliseconds = fields.get(names.DEADLINE_MS.lower())
-        seconds = DEFAULT_SECONDS if milliseconds is None else float(milliseconds) / MILLISECONDS
-        prompt_tokens, _, most_output = fields.get(names.TOKEN_USAGE.lower(), "").partition(",")
+        seconds = (
+            DEFAULT_DEADLINE_SECONDS if milliseconds is None else float(milliseconds) / MILLISECONDS
+        )
+        prompt_tokens, _, max_output = fields.get(names.TOKEN_USAGE.lower(), "").partition(",")
         hint = fields.get(names.LENGTH_HINT.lower())
-        named = _named_by_connection(headers)
+        hop_by_hop = _named_by_connection(headers)
         return RequestHead(
             attempt_id=attempt_id,
             deadline=now + seconds,
             key=_key(fields.get(names.AUTHORIZATION.lower(), "")),
             forwarded_headers=[
-                (name, value) for name, value in headers if _is_passed(name.lower(), named)
+                (name, value) for name, value in headers if _is_forwarded(name.lower(), hop_by_hop)
             ],
-            prompt=_parts(fields.get(names.PROMPT_PARTS.lower(), "")),
+            prompt=_prompt_parts(fields.get(names.PROMPT_PARTS.lower(), "")),
             prompt_tokens=int(prompt_tokens or 0),
-            max_output_tokens=int(most_output or 0),
+            max_output_tokens=int(max_output or 0),
             output_hint=None if hint is None else int(float(hint)),
             last_event=fields.get(names.LAST_EVENT_ID.lower(), ""),
         )
@@ -139,7 +141,7 @@
     return key.strip() if scheme.lower() == names.KEY_SCHEME.strip().lower() else ""
 
 
-def _parts(value: str) -> tuple[PromptPart, ...]:
+def _prompt_parts(value: str) -> tuple[PromptPart, ...]:
     parts = []
     for text in filter(None, (part.strip() for part in value.split(","))):
         part_id, _, tokens = text.partition(":")
@@ -148,15 +150,15 @@
 
 
 def _named_by_connection(headers: list[tuple[str, str]]) -> frozenset[str]:
-    """Return the names in all ``Connection`` headers, of which there may be several."""
+    """Return the lower-case header names listed in all ``Connection`` headers together."""
     values = [value for name, value in headers if name.lower() == "connection"]
     return frozenset(name.strip().lower() for name in ",".join(values).split(","))
 
 
-def _is_passed(name: str, named_by_connection: frozenset[str]) -> bool:
+def _is_forwarded(name: str, named_by_connection: frozenset[str]) -> bool:
     if name.startswith(names.PLATFORM_PREFIXES):
-        return name in SET_BY_CALLERS
-    return name not in NOT_PASSED and name not in named_by_connection
+        return name in FORWARDED_PLATFORM_HEADERS
+    return name not in NOT_FORWARDED and name not in named_by_connection
 
 
 def _malformed(detail: str) -> Fault:
--- a/packages/loomyard-router/src/loomyard_router/platform/documents.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/documents.py
@@ -1,4 +1,4 @@
-"""The documents in the platform's store: configuration, operators' orders, announcements."""
+"""Decode the documents in the platform's store: configuration, evacuations, announcements."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     )
 
 MILLISECONDS = 1000.0
-KINDS = {
+ROUTE_KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.NON_IDEMPOTENT,
     "streaming": RouteKind.STREAM,
@@ -42,25 +42,25 @@
 
 
 def decode_configuration(data: bytes) -> Result[RouteTable, UnreadableEntry]:
-    """Decode a whole version of the configuration."""
-    return _read(ConfigurationEntry, data).map(_make_table)
+    """Decode one complete version of the configuration."""
+    return _decode(ConfigurationEntry, data).map(_make_table)
 
 
 def decode_target(key: str, data: bytes) -> Result[AnnouncedTarget, UnreadableEntry]:
     """Decode the announcement of a target; the key is its id."""
     if not is_name(key):
-        return Err(make_unreadable_entry(UnreadableReason.KEY, f"no id: {key!r}"))
-    return _read(TargetEntry, data).map(lambda entry: _make_target(key, entry))
+        return Err(make_unreadable_entry(UnreadableReason.KEY, f"not a target id: {key!r}"))
+    return _decode(TargetEntry, data).map(lambda entry: _make_target(key, entry))
 
 
 def find_emptied_data_centre(key: str) -> str | None:
-    """Return the data centre that an operator's record empties, ``None`` for any other record."""
-    if not key.startswith(names.EMPTYING_PREFIX):
+    """Return the data centre that an evacuation record names, ``None`` for any other record."""
+    if not key.startswith(names.EVACUATION_PREFIX):
         return None
-    return key.removeprefix(names.EMPTYING_PREFIX) or None
+    return key.removeprefix(names.EVACUATION_PREFIX) or None
 
 
-def _read(kind: type, data: bytes) -> Result[Any, UnreadableEntry]:
+def _decode(kind: type, data: bytes) -> Result[Any, UnreadableEntry]:
     try:
         document = json.loads(data)
     except (ValueError, RecursionError) as error:
@@ -78,7 +78,7 @@
         version=entry.version,
         routes=[_make_route(route) for route in entry.routes],
         services=[_make_service(service) for service in entry.services],
-        accounts=None if entry.tenants is None else [_make_account(t) for t in entry.tenants],
+        accounts=None if entry.tenants is None else [_make_account(one) for one in entry.tenants],
         limits=_make_limits(entry.limits),
     )
 
@@ -98,15 +98,17 @@
 
 def _make_route(entry: RouteEntry) -> Route:
     if entry.split:
-        shares = tuple(ServiceShare(service=one.service, weight=one.weight) for one in entry.split)
+        shares = tuple(
+            ServiceShare(service=part.service, weight=part.weight) for part in entry.split
+        )
     else:
         shares = (ServiceShare(service=entry.service or "", weight=1.0),)
     return Route(
         name=entry.name,
         host=entry.host.lower(),
         prefix=entry.path_prefix,
-        # A kind that a later platform adds may be anything: it is not repeated.
-        kind=KINDS.get(entry.route_kind or "", RouteKind.NON_IDEMPOTENT),
+        # Requests of an unknown kind may not be idempotent, so they are never repeated.
+        kind=ROUTE_KINDS.get(entry.route_kind or "", RouteKind.NON_IDEMPOTENT),
         shares=shares,
         timeout=_seconds(entry.timeout_ms),
         objective=_seconds(entry.slo_ms),
@@ -138,12 +140,12 @@
 
 
 def _make_limits(entry: LimitsEntry) -> CallerLimits:
-    unset = CallerLimits()
+    defaults = CallerLimits()
     return CallerLimits(
-        head_bytes=entry.max_header_bytes or unset.head_bytes,
-        body_bytes=entry.max_body_bytes or unset.body_bytes,
-        head_seconds=entry.header_timeout_ms / MILLISECONDS or unset.head_seconds,
-        idle_seconds=entry.idle_timeout_ms / MILLISECONDS or unset.idle_seconds,
+        head_bytes=entry.max_header_bytes or defaults.head_bytes,
+        body_bytes=entry.max_body_bytes or defaults.body_bytes,
+        head_seconds=entry.header_timeout_ms / MILLISECONDS or defaults.head_seconds,
+        idle_seconds=entry.idle_timeout_ms / MILLISECONDS or defaults.idle_seconds,
         tokens_per_second=float(entry.tokens_per_s),
     )
 
--- a/packages/loomyard-router/src/loomyard_router/platform/entry_fields.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/entry_fields.py
@@ -1,4 +1,4 @@
-"""Checks of single fields of entries that anybody may have written."""
+"""Decode and validate entries from an untrusted store, field by field."""
 
 from __future__ import annotations
 
@@ -14,114 +14,116 @@
 
     from attrs import Attribute
 
-    Check = Callable[[Any, Attribute, Any], None]
-    Reader = Callable[[Any], Any]
+    Validator = Callable[[Any, Attribute, Any], None]
+    Decoder = Callable[[Any], Any]
 
-# What names are made of: they stand in headers, paths and logs.
+# Printable ASCII without spaces, since names stand in headers, paths and logs.
 _NAME = re.compile(r"[\x21-\x7e]{1,256}")
-MOST_PORT = 65535
-MOST_ITEMS = 100_000
-READER = "reader"
+MAX_PORT = 65535
+MAX_ITEMS = 100_000
+DECODER = "reader"
 
 
 def read_fields(kind: type, document: Any) -> Any:
-    """Make an entry of a kind from a document; a field that is null counts as left out.
+    """Make an attrs instance of a class from a JSON document; a null field counts as absent.
 
     Errors: ``ValueError``, ``TypeError``.
     """
     if not isinstance(document, dict):
-        raise TypeError(f"{kind.__name__} is {type(document).__name__}, not a table")
-    given = {}
+        raise TypeError(f"{kind.__name__} is {type(document).__name__}, not an object")
+    values = {}
     for field in fields(kind):
         value = document.get(field.name)
         if value is not None:
-            read = field.metadata.get(READER)
-            given[field.name] = value if read is None else read(value)
+            decode = field.metadata.get(DECODER)
+            values[field.name] = value if decode is None else decode(value)
         elif field.default is NOTHING:
             raise ValueError(f"{kind.__name__} lacks {field.name}")
-    return kind(**given)
+    return kind(**values)
 
 
-def table_of(kind: type) -> dict[str, Reader]:
-    """Return the metadata of a field that holds a table."""
-    return {READER: lambda value: read_fields(kind, value)}
+def object_of(kind: type) -> dict[str, Decoder]:
+    """Return the metadata of a field that holds a JSON object of a class."""
+    return {DECODER: lambda value: read_fields(kind, value)}
 
 
-def list_of(kind: type) -> dict[str, Reader]:
-    """Return the metadata of a field that holds a list of tables."""
+def list_of(kind: type) -> dict[str, Decoder]:
+    """Return the metadata of a field that holds a list of JSON objects of a class."""
 
-    def read(value: Any) -> Any:
-        if not isinstance(value, list) or len(value) > MOST_ITEMS:
-            raise TypeError(f"no list of {kind.__name__}")
-        return tuple(read_fields(kind, one) for one in value)
+    def decode(value: Any) -> Any:
+        if not isinstance(value, list) or len(value) > MAX_ITEMS:
+            raise TypeError(f"not a list of {kind.__name__}, or too long")
+        return tuple(read_fields(kind, item) for item in value)
 
-    return {READER: read}
+    return {DECODER: decode}
 
 
 def is_name(value: Any) -> bool:
-    """Tell whether a value is a name that may stand in a header."""
+    """Return whether a value is a name that may stand in a header."""
     return isinstance(value, str) and _NAME.fullmatch(value) is not None
 
 
 def check_name(_: Any, field: Attribute, value: Any) -> None:
-    """Check a name."""
+    """Validate a name: 1 to 256 printable ASCII characters without spaces."""
     if not is_name(value):
-        raise ValueError(f"{field.name} is no name: {value!r}")
+        raise ValueError(f"{field.name} is not a name: {value!r}")
 
 
 def check_names(_: Any, field: Attribute, value: Any) -> None:
-    """Check a list of names."""
-    if not isinstance(value, list | tuple) or not all(is_name(one) for one in value):
-        raise ValueError(f"{field.name} are no names")
+    """Validate a list of names."""
+    if not isinstance(value, list | tuple) or not all(is_name(item) for item in value):
+        raise ValueError(f"{field.name} is not a list of names")
 
 
 def check_path(_: Any, field: Attribute, value: Any) -> None:
-    """Check the beginning of a path."""
+    """Validate a path or path prefix, which begins with a slash."""
     if not is_name(value) or not value.startswith("/"):
-        raise ValueError(f"{field.name} is no path: {value!r}")
+        raise ValueError(f"{field.name} is not a path: {value!r}")
 
 
 def check_address(_: Any, field: Attribute, value: Any) -> None:
-    """Check ``IP:PORT``."""
+    """Validate ``IPv4:PORT``."""
     host, _colon, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
-    if not (port.isascii() and port.isdigit() and len(port) <= 5 and 0 < int(port) <= MOST_PORT):
-        raise ValueError(f"{field.name} has no port: {value!r}")
+    if not (port.isascii() and port.isdigit() and len(port) <= 5 and 0 < int(port) <= MAX_PORT):
+        raise ValueError(f"{field.name} has no valid port: {value!r}")
     ipaddress.IPv4Address(host)
 
 
-def whole(least: int, most: int) -> Check:
-    """Return the check of a whole number in a range."""
+def integer(min_value: int, max_value: int) -> Validator:
+    """Return the validator of an integer in an inclusive range; a boolean is not one."""
 
     def check(_: Any, field: Attribute, value: Any) -> None:
-        if type(value) is not int or not least <= value <= most:
-            raise ValueError(f"{field.name} is not from {least} to {most}: {value!r}")
+        if type(value) is not int or not min_value <= value <= max_value:
+            raise ValueError(
+                f"{field.name} is not an integer from {min_value} to {max_value}: {value!r}"
+            )
 
     return check
 
 
-def number(least: float, most: float) -> Check:
-    """Return the check of a number in a range, whole or not."""
+def number(min_value: float, max_value: float) -> Validator:
+    """Return the validator of a finite integer or float in an inclusive range."""
 
     def check(_: Any, field: Attribute, value: Any) -> None:
         if type(value) not in (int, float) or not math.isfinite(value):
-            raise ValueError(f"{field.name} is no number: {value!r}")
-        if not least <= value <= most:
-            raise ValueError(f"{field.name} is not from {least} to {most}: {value!r}")
+            raise ValueError(f"{field.name} is not a finite number: {value!r}")
+        if not min_value <= value <= max_value:
+            raise ValueError(f"{field.name} is not from {min_value} to {max_value}: {value!r}")
 
     return check
 
 
 def check_flag(_: Any, field: Attribute, value: Any) -> None:
-    """Check true or false."""
+    """Validate a boolean."""
     if type(value) is not bool:
         raise ValueError(f"{field.name} is not true or false: {value!r}")
 
 
-def one_of(*words: str) -> Check:
-    """Return the check of a word of a list."""
+def one_of(*choices: str) -> Validator:
+    """Return the validator of a string that is one of several choices."""
 
     def check(_: Any, field: Attribute, value: Any) -> None:
-        if not isinstance(value, str) or value not in words:
-            raise ValueError(f"{field.name} is none of {words}: {value!r}")
+        if not isinstance(value, str) or value not in choices:
+            raise ValueError(f"{field.name} is not one of {choices}: {value!r}")
 
     return check
--- a/packages/loomyard-router/src/loomyard_router/platform/names.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/names.py
@@ -1,31 +1,32 @@
-"""The platform's names: headers, paths, topics and what a name does not say."""
+"""Names of the platform: headers, paths, topics, keys and environment variables."""
 
 from __future__ import annotations
 
-# Lower-case beginnings of all headers that mean something to the platform itself.
+# Lower-case prefixes of all headers that are reserved for the platform.
 PLATFORM_PREFIXES = ("loomyard-", "kv-")
 ATTEMPT_ID = "Loomyard-Attempt-Id"
 DEADLINE_MS = "Loomyard-Deadline-Ms"
-# The client account, by its name; the platform calls accounts tenants.
+# The name of the client account, which the platform calls a tenant.
 ACCOUNT = "Loomyard-Tenant"
 MODEL = "Loomyard-Model"
-# Prompt tokens and the most tokens to generate, with a comma; nothing is "used" yet.
+# Prompt tokens and the limit of tokens to generate, separated by a comma.
 TOKEN_USAGE = "Loomyard-Token-Usage"
 PROMPT_PARTS = "Loomyard-Prompt-Prefix"
 LENGTH_HINT = "Loomyard-Length-Hint"
 LAST_EVENT_ID = "Last-Event-Id"
-# The life of a target that alone may run the request.
+# The id of the only target that may run the request; another target at the address refuses it.
 EXPECTED_TARGET = "Loomyard-Expect-Instance"
-# The id of the target that answers for its health.
+# The id of the target that answers a health check.
 INSTANCE = "Loomyard-Instance-Id"
-# The target's word that it did not run the request.
-NOT_RUN = "Loomyard-Not-Executed"
+# Present in the answer of a target that did not execute the request.
+NOT_EXECUTED = "Loomyard-Not-Executed"
+# Marks a success as the answer of a target, not of something in between.
 STAMP = "Loomyard-Server-Stamp"
 RETRY_AFTER = "Retry-After"
-# In all answers of a target that leaves.
+# In all answers of a target that is leaving.
 LEAVING = "Server-Leaving"
-IS_LEAVING = "1"
-# In all answers of the store; it rises by one each time that came back from an older copy.
+LEAVING_VALUE = "1"
+# In all answers of the store; it rises by one each time the store is rolled back to an older copy.
 STORE_ERA = "Store-Era"
 AUTHORIZATION = "Authorization"
 KEY_SCHEME = "Bearer "
@@ -34,10 +35,10 @@
 
 CONFIGURATION_TOPIC = "keyed.op"
 CONFIGURATION_KEY = "config"
-# Before the name of a data centre whose targets are to get nothing.
-EMPTYING_PREFIX = "evacuate/"
+# Precedes the name of an evacuated data centre, whose targets get no new requests.
+EVACUATION_PREFIX = "evacuate/"
 TARGETS_TOPIC = "keyed.servers"
-# Of the routers' own: what has to outlive all of them.
+# Written by the routers themselves: records of crashes that have to outlive all routers.
 CRASHES_TOPIC = "keyed.crashes"
 
 SETTINGS_VARIABLE = "LOOMYARD_NODE_FILE"
--- a/packages/loomyard-router/src/loomyard_router/platform/settings_file.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/settings_file.py
@@ -1,4 +1,4 @@
-"""The settings file of a process on the platform."""
+"""Read the settings file that the platform writes for a router process."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
     from collections.abc import Mapping
 
 MILLISECONDS = 1000.0
-# As deploy/system.toml says it; the settings hold no port for metrics.
+# The settings file names no port for metrics; deploy/system.toml has the same number.
 METRICS_PORT = 9464
 DEFAULT_GRACE = 8.0
-# Files keep 200 descriptors; connections of callers may take half of the others.
-FILE_DESCRIPTORS = 200
-CALLERS_PART = 0.5
+# Descriptors reserved for files; connections of callers may take half of the others.
+RESERVED_DESCRIPTORS = 200
+CALLERS_FRACTION = 0.5
 DEFAULT_DESCRIPTORS = 4096
-# The process without callers, and what a connection with its task takes (measured on the bench:
-# 148 MB with 3,900 connections, 34 MB with 150).
+# Memory of a process without callers, and of one connection with its task. Measured processes
+# took 34 MB with 150 connections and 148 MB with 3,900.
 BASE_MB = 60.0
 CONNECTION_MB = 0.032
 DEFAULT_MEMORY_MB = 256.0
-MEMORY_PART = 0.8
-# Of the whole memory, for bodies of requests.
+MEMORY_FRACTION = 0.8
+# Fraction of the memory limit for request bodies; part of ``MEMORY_FRACTION``.
 BODIES_PART = 0.15
 MEGABYTE = 1 << 20
-LEAST_CONNECTIONS = 100
+MIN_CONNECTIONS = 100
 
 
 def read_settings(environment: Mapping[str, str]) -> Result[RoutedSettings, str]:
-    """Read and check the settings; fields that are not known are passed over."""
+    """Read the file named by the environment, and the fleet secret; ignore unknown fields."""
     try:
         text = Path(environment.get(names.SETTINGS_VARIABLE, "")).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -44,7 +44,7 @@
     secrets = split_list(environment.get(FLEET_SECRET_VARIABLE, ""))
     if not 1 <= len(secrets) <= MAX_SECRETS:
         return Err(f"{FLEET_SECRET_VARIABLE} holds {len(secrets)} secrets, not 1 or {MAX_SECRETS}")
-    return parse_settings_text(text).map(lambda read: evolve(read, fleet_secret=secrets))
+    return parse_settings_text(text).map(lambda settings: evolve(settings, fleet_secret=secrets))
 
 
 def parse_settings_text(text: str) -> Result[RoutedSettings, str]:
@@ -56,24 +56,24 @@
     except KeyError as error:
         return Err(f"the settings file lacks {error.args[0]}")
     except ValueError as error:
-        return Err(f"the settings file holds a value that can't be read: {error}")
+        return Err(f"the settings file holds an invalid value: {error}")
 
 
 def _make(fields: Mapping[str, str]) -> RoutedSettings:
     ports = [int(port) for port in fields["internal_ports"].split(",")]
-    own = fields["ip"]
+    own_ip = fields["ip"]
     seeds = tuple(
         f"{seed.rpartition(':')[0]}:{ports[0]}"
         for seed in fields.get("seeds", "").split(",")
-        if seed and seed.rpartition(":")[0] != own
+        if seed and seed.rpartition(":")[0] != own_ip
     )
     return RoutedSettings(
         name=fields["node_name"],
         data_centre=fields.get("zone", ""),
         listen=fields["listen.frontend"],
         ready_listen=fields["listen.readiness"],
-        peer_listen=f"{own}:{ports[0]}",
-        metrics_listen=f"{own}:{METRICS_PORT}",
+        peer_listen=f"{own_ip}:{ports[0]}",
+        metrics_listen=f"{own_ip}:{METRICS_PORT}",
         seeds=seeds,
         store=fields["platform.address"],
         grace=float(fields.get("bounds.grace_s", DEFAULT_GRACE)),
@@ -82,18 +82,18 @@
             window=float(fields.get("bounds.retry_window_s", 10.0)),
             slack=float(fields.get("bounds.retry_slack", 0.0)),
         ),
-        most_connections=_most_connections(fields),
+        most_connections=_max_connections(fields),
         share_window=float(fields.get("bounds.quota_window_s", 4.0)),
         body_bytes=int(BODIES_PART * _memory_mb(fields) * MEGABYTE),
         event_seconds=float(fields.get("bounds.pass_ms", 0.0)) / MILLISECONDS,
     )
 
 
-def _most_connections(fields: Mapping[str, str]) -> int:
-    descriptors = int(fields.get("limits.max_fds", DEFAULT_DESCRIPTORS)) - FILE_DESCRIPTORS
-    memory = (MEMORY_PART - BODIES_PART) * _memory_mb(fields) - BASE_MB
-    bound = min(CALLERS_PART * descriptors, memory / CONNECTION_MB)
-    return max(LEAST_CONNECTIONS, int(bound))
+def _max_connections(fields: Mapping[str, str]) -> int:
+    descriptors = int(fields.get("limits.max_fds", DEFAULT_DESCRIPTORS)) - RESERVED_DESCRIPTORS
+    memory = (MEMORY_FRACTION - BODIES_PART) * _memory_mb(fields) - BASE_MB
+    bound = min(CALLERS_FRACTION * descriptors, memory / CONNECTION_MB)
+    return max(MIN_CONNECTIONS, int(bound))
 
 
 def _memory_mb(fields: Mapping[str, str]) -> float:
--- a/packages/loomyard-router/src/loomyard_router/platform/settings_watch.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/settings_watch.py
@@ -1,4 +1,4 @@
-"""Read the settings file again when it changes, with or without a signal."""
+"""Reload the settings file when it changes or when a signal asks for it."""
 
 from __future__ import annotations
 
@@ -21,49 +21,49 @@
 
 logger = logging.getLogger(__name__)
 
-LOOK_SECONDS = 2.0
+POLL_SECONDS = 2.0
 
 
 class SettingsWatch:
-    """Give changed settings to a function; ones that can't be read change nothing."""
+    """Poll the settings file and call back with changed settings; log unreadable ones only."""
 
     def __init__(
         self,
         environment: Mapping[str, str],
         clock: Clock,
-        changed: Callable[[RoutedSettings], None],
+        on_change: Callable[[RoutedSettings], None],
     ) -> None:
         self._environment = environment
         self._clock = clock
-        self._changed = changed
-        self._seen = self._mark()
+        self._on_change = on_change
+        self._read_signature = self._file_signature()
 
     def start(self) -> None:
-        """Start to look."""
+        """Start polling every ``POLL_SECONDS`` in the background."""
         gevent.spawn(self._run)
 
     def reload(self) -> None:
-        """Read the file now."""
-        self._seen = self._mark()
+        """Read the file now, changed or not."""
+        self._read_signature = self._file_signature()
         match read_settings(self._environment):
             case Ok(settings):
-                self._changed(settings)
+                self._on_change(settings)
             case Err(detail):
                 emit(logger, Event.SETTINGS_UNREADABLE, detail=detail)
 
-    def look(self) -> None:
-        """Read the file if it is another than the last time."""
-        if self._mark() != self._seen:
+    def reload_if_changed(self) -> None:
+        """Read the file if its inode, size or modification time changed since the last read."""
+        if self._file_signature() != self._read_signature:
             self.reload()
 
-    def _mark(self) -> tuple[int, int, int]:
+    def _file_signature(self) -> tuple[int, int, int]:
         try:
-            found = os.stat(self._environment.get(names.SETTINGS_VARIABLE, ""))
+            status = os.stat(self._environment.get(names.SETTINGS_VARIABLE, ""))
         except OSError:
             return (0, 0, 0)
-        return (found.st_ino, found.st_size, found.st_mtime_ns)
+        return (status.st_ino, status.st_size, status.st_mtime_ns)
 
     def _run(self) -> None:
         while True:
-            self._clock.sleep(LOOK_SECONDS)
-            self.look()
+            self._clock.sleep(POLL_SECONDS)
+            self.reload_if_changed()
--- a/packages/loomyard-router/src/loomyard_router/platform/store_archive.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/store_archive.py
@@ -1,4 +1,4 @@
-"""A topic of the platform's store that routers write."""
+"""An archive of crash records in a keyed topic of the platform's store."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from result import Err, Ok, Result
 
-from loomyard_router.platform.store_calls import HTTP_OK, StoreCalls, unavailable
+from loomyard_router.platform.store_client import HTTP_OK, StoreClient, unavailable
 from loomyard_router.platform.store_feed import StoreFeed
 
 if TYPE_CHECKING:
@@ -17,7 +17,7 @@
     from loomyard.errors import Fault
     from loomyard_router.feeds.store_era import StoreEra
 
-_LENGTH = struct.Struct(">I")
+_RECORD_LENGTH = struct.Struct(">I")
 
 
 class StoreArchive:
@@ -26,26 +26,26 @@
     def __init__(self, address: str, topic: str, clock: Clock, era: StoreEra) -> None:
         self._topic = topic
         self._era = era
-        self._records = StoreFeed(address, topic, clock, era)
-        self._calls = StoreCalls(address, clock, era)
+        self._feed = StoreFeed(address, topic, clock, era)
+        self._client = StoreClient(address, clock, era)
 
     @property
     def era(self) -> int:
         return self._era.newest
 
     def read(self, deadline: float) -> Result[Mapping[str, bytes], Fault]:
-        return self._records.fetch_listing(deadline).map(
+        return self._feed.fetch_listing(deadline).map(
             lambda listing: {
                 record.key: record.value for record in listing.records if record.value is not None
             }
         )
 
     def write(self, key: str, value: bytes | None, deadline: float) -> Result[None, Fault]:
-        name = key.encode()
-        content = bytes([len(name)]) + name + (value or b"")
+        key_bytes = key.encode()
+        content = bytes([len(key_bytes)]) + key_bytes + (value or b"")
         query = {"topic": self._topic, "part": 0}
-        match self._calls.post(
-            "/log-append", query, _LENGTH.pack(len(content)) + content, deadline
+        match self._client.post(
+            "/log-append", query, _RECORD_LENGTH.pack(len(content)) + content, deadline
         ):
             case Err(fault):
                 return Err(fault)
--- a/packages/loomyard-router/src/loomyard_router/platform/store_calls.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/store_client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store over one connection."""
+"""An HTTP client of the platform's store over one connection."""
 
 from __future__ import annotations
 
@@ -24,25 +24,26 @@
 
 HTTP_OK = 200
 CONNECT_SECONDS = 0.5
-LEAST_SECONDS = 0.05
-# A store would lose writes a million times first; more would not travel as one number.
-MOST_ERA_DIGITS = 6
+MIN_CALL_SECONDS = 0.05
+# A longer number is a fault: the store would have been rolled back a million times, and routers
+# send each other an era as a number of bounded size.
+MAX_ERA_DIGITS = 6
 
 
 @frozen
 class StoreAnswer:
-    """An answer that came whole, and the era of the store that gave it."""
+    """A complete answer, with the era of the store when it answered."""
 
     status: int
     body: bytes
     era: int = 0
 
 
-class StoreCalls:
-    """Make one call after the other; a connection of which an answer was lost is not used again.
+class StoreClient:
+    """Make one call at a time; a connection on which an answer was lost is closed.
 
-    Each answer tells ``era`` of the store's, also a refusal; one of an earlier era than the newest
-    that was heard of is none.
+    Each answer, also a refusal, updates the newest known era of the store. An answer of an earlier
+    era comes from an outdated copy and is an error.
     """
 
     def __init__(self, address: str, clock: Clock, era: StoreEra) -> None:
@@ -54,17 +55,17 @@
     def get(
         self, path: str, query: Mapping[str, object], deadline: float
     ) -> Result[StoreAnswer, Fault]:
-        """Read. Error: ``LOG_UNAVAILABLE``, at the deadline at the latest."""
+        """Send a read. Error: ``LOG_UNAVAILABLE``, by the deadline at the latest."""
         return self._call("GET", path, query, b"", deadline)
 
     def post(
         self, path: str, query: Mapping[str, object], body: bytes, deadline: float
     ) -> Result[StoreAnswer, Fault]:
-        """Write; it may have been done after an error, as those of ``get``."""
+        """Send a write; after an error, the same as of ``get``, it may still have been applied."""
         return self._call("POST", path, query, body, deadline)
 
     def _call(
-        self, method: str, path: str, query: Mapping[str, object], sent: bytes, deadline: float
+        self, method: str, path: str, query: Mapping[str, object], content: bytes, deadline: float
     ) -> Result[StoreAnswer, Fault]:
         if self._client is None:
             self._client = make_http_client(
@@ -74,52 +75,52 @@
                 connection_timeout=CONNECT_SECONDS,
                 network_timeout=None,
             )
-        # The client bounds each wait; here the whole call has one deadline.
-        timeout = Timeout(max(LEAST_SECONDS, deadline - self._clock.now()))
+        # The HTTP client could only bound single waits; this bounds the whole call.
+        timeout = Timeout(max(MIN_CALL_SECONDS, deadline - self._clock.now()))
         try:
             with timeout:
-                response = self._client.request(method, f"{path}?{urlencode(query)}", body=sent)
+                response = self._client.request(method, f"{path}?{urlencode(query)}", body=content)
                 body = bytes(response.read())
             status = response.status_code
-            told = response.get(names.STORE_ERA)
-            whole = response.message_complete
+            era_header = response.get(names.STORE_ERA)
+            complete = response.message_complete
         except Timeout as expired:
             if expired is not timeout:
                 raise
-            self._drop()
+            self._close()
             return Err(unavailable("no answer in time"))
-        except Exception as error:  # the client raises many types on a broken connection
-            self._drop()
+        except Exception as error:  # the HTTP client raises many types on a broken connection
+            self._close()
             return Err(unavailable(str(error) or type(error).__name__))
-        if not whole:
-            self._drop()
-            return Err(unavailable("the answer broke off"))
-        era = read_era(told)
+        if not complete:
+            self._close()
+            return Err(unavailable("the answer is incomplete"))
+        era = parse_era(era_header)
         if era is None:
-            # A store that tells none has one for ever.
+            # A store that sends no era is never rolled back.
             return Ok(StoreAnswer(status, body, self._era.newest))
         if not self._era.accept(era):
-            return Err(unavailable(f"an answer of era {era}, which is over"))
+            return Err(unavailable(f"stale answer: the store is past era {era}"))
         return Ok(StoreAnswer(status, body, era))
 
-    def _drop(self) -> None:
+    def _close(self) -> None:
         client, self._client = self._client, None
         if client is not None:
             client.close()
 
 
-def read_era(text: object) -> int | None:
-    """Read the era that an answer tells, ``None`` where it tells none that can be read."""
-    # The client gives a list where a header comes more than once.
+def parse_era(text: object) -> int | None:
+    """Parse the era header of an answer; ``None`` if it is absent or invalid."""
+    # The HTTP client returns a list for a repeated header.
     if (
         not isinstance(text, str)
         or not (text.isascii() and text.isdigit())
-        or len(text) > MOST_ERA_DIGITS
+        or len(text) > MAX_ERA_DIGITS
     ):
         return None
     return int(text)
 
 
 def unavailable(detail: str) -> Fault:
-    """Make the fault of a store that did not do what was asked."""
+    """Make the ``LOG_UNAVAILABLE`` fault of a store that failed, refused or did not answer."""
     return Fault(code=ResultCode.LOG_UNAVAILABLE, detail=detail)
--- a/packages/loomyard-router/src/loomyard_router/platform/store_feed.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/store_feed.py
@@ -1,4 +1,4 @@
-"""A topic of the platform's store as a feed."""
+"""A feed that reads a keyed topic of the platform's store."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from loomyard_router.feeds.feed import ANSWER_MARGIN_SECONDS, Batch, Listing
 from loomyard_router.feeds.feed_position import FeedPosition
 from loomyard_router.feeds.keyed_record import KeyedRecord
-from loomyard_router.platform.store_calls import HTTP_OK, StoreAnswer, StoreCalls, unavailable
+from loomyard_router.platform.store_client import HTTP_OK, StoreAnswer, StoreClient, unavailable
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
@@ -21,15 +21,16 @@
 
 HTTP_GONE = 410
 MILLISECONDS = 1000
-_ENDS = struct.Struct(">QQ")
-_LENGTH = struct.Struct(">I")
+# A batch begins with the end offset of the topic and the offset of the first record.
+_BATCH_HEAD = struct.Struct(">QQ")
+_RECORD_LENGTH = struct.Struct(">I")
 
 
 class StoreFeed:
     """Read the only partition of a keyed topic over one connection."""
 
     def __init__(self, address: str, topic: str, clock: Clock, era: StoreEra) -> None:
-        self._calls = StoreCalls(address, clock, era)
+        self._client = StoreClient(address, clock, era)
         self._topic = topic
         self._clock = clock
 
@@ -48,17 +49,17 @@
                 return Err(answer.unwrap_err())
             era = answer.unwrap().era
             if first_end is not None and era != first_end.era:
-                return Err(unavailable("pages of two eras are no listing"))
+                return Err(unavailable("the era of the store changed between pages of a listing"))
             try:
                 page = json.loads(answer.unwrap().body)
                 items = page["items"]
                 records += [_decode_item(item, era) for item in items]
-                # The pages are no snapshot: what changed since the first is read again.
+                # Pages are no snapshot. Changes since the first are read from its end offset on.
                 first_end = first_end or FeedPosition(era, int(page["end_offset"]))
                 more = bool(page.get("truncated")) and bool(items)
                 after = items[-1]["tls_key"] if more else None
             except (ValueError, KeyError, TypeError, RecursionError) as error:
-                return Err(unavailable(f"an unreadable listing: {error!r}"))
+                return Err(unavailable(f"unreadable listing: {error!r}"))
             if not more:
                 return Ok(Listing(records=records, position=first_end))
 
@@ -71,13 +72,13 @@
         return _decode_batch(answer.unwrap().body, offset, answer.unwrap().era)
 
     def _get(self, path: str, query: dict, deadline: float) -> Result[StoreAnswer, Fault]:
-        match self._calls.get(path, query, deadline):
+        match self._client.get(path, query, deadline):
             case Err(fault):
                 return Err(fault)
             case Ok(answer):
                 pass
         if answer.status == HTTP_GONE:
-            return Err(Fault(code=ResultCode.LOG_TRIMMED, detail="the records are gone"))
+            return Err(Fault(code=ResultCode.LOG_TRIMMED, detail="the records were trimmed"))
         if answer.status != HTTP_OK:
             return Err(unavailable(f"status {answer.status}"))
         return Ok(answer)
@@ -85,34 +86,34 @@
 
 def _decode_item(item: dict, era: int) -> KeyedRecord:
     value = base64.b64decode(item["value"]) if item.get("value") else None
-    # The platform's field for a record's key is named after a key of TLS.
+    # The platform calls the key of a record ``tls_key``; it has nothing to do with TLS.
     return KeyedRecord(key=str(item["tls_key"]), value=value, offset=int(item["offset"]), era=era)
 
 
 def _decode_batch(data: bytes, offset: int, era: int) -> Result[Batch, Fault]:
     records = []
     try:
-        end, first = _ENDS.unpack_from(data)
-        at = _ENDS.size
+        end, first = _BATCH_HEAD.unpack_from(data)
+        at = _BATCH_HEAD.size
         offset = max(offset, first)
         while at < len(data):
-            (length,) = _LENGTH.unpack_from(data, at)
-            at += _LENGTH.size
+            (length,) = _RECORD_LENGTH.unpack_from(data, at)
+            at += _RECORD_LENGTH.size
             content = data[at : at + length]
             if len(content) < length:
-                return Err(unavailable("a record that is cut off"))
+                return Err(unavailable("truncated record in a batch"))
             at += length
             records.append(_decode_record(content, offset, era))
             offset += 1
     except struct.error as error:
-        return Err(unavailable(f"an unreadable batch: {error!r}"))
-    # The end before the offset asked for says that the store fell back.
+        return Err(unavailable(f"unreadable batch: {error!r}"))
+    # An end below the requested offset shows the caller that the store was rolled back.
     return Ok(Batch(records=records, position=FeedPosition(era, min(offset, end))))
 
 
 def _decode_record(content: bytes, offset: int, era: int) -> KeyedRecord:
     if not content:
-        # Another writer may append anything; a record without a key says nothing.
+        # Other writers may append anything; an empty record counts as one without a key.
         return KeyedRecord(key="", value=None, offset=offset, era=era)
     length = content[0]
     key = content[1 : 1 + length].decode(errors="replace")
--- a/packages/loomyard-router/src/loomyard_router/platform/targets.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/targets.py
@@ -1,4 +1,4 @@
-"""Targets as they speak on the platform."""
+"""The codec of requests to targets of the platform and of the heads of their answers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PlatformTargets:
-    """The ``TargetDialect`` of the platform."""
+    """The ``TargetCodec`` of the platform."""
 
     def encode_request_head(
         self, request: RoutedRequest, target: AnnouncedTarget, *, milliseconds: int, last_event: str
@@ -40,15 +40,16 @@
 
     def decode_health_answer(self, status: int, headers: list[tuple[str, str]]) -> HealthAnswer:
         fields = {name.lower(): value for name, value in headers}
-        named = fields.get(names.INSTANCE.lower())
-        if named is None and status in (HTTPStatus.BAD_GATEWAY, HTTPStatus.GATEWAY_TIMEOUT):
-            named = ""
-        return HealthAnswer(instance_id=named, notice=_read_notice(status, fields))
+        instance_id = fields.get(names.INSTANCE.lower())
+        if instance_id is None and status in (HTTPStatus.BAD_GATEWAY, HTTPStatus.GATEWAY_TIMEOUT):
+            # The error of a proxy in front of the target.
+            instance_id = ""
+        return HealthAnswer(instance_id=instance_id, notice=_read_notice(status, fields))
 
     def decode_answer_head(self, status: int, headers: list[tuple[str, str]]) -> AnswerHead:
         fields = {name.lower(): value for name, value in headers}
         attempt_id = fields.get(names.ATTEMPT_ID.lower(), "")
-        refused = names.NOT_RUN.lower() in fields or status == HTTPStatus.MISDIRECTED_REQUEST
+        refused = names.NOT_EXECUTED.lower() in fields or status == HTTPStatus.MISDIRECTED_REQUEST
         success = HTTPStatus.OK <= status < HTTPStatus.MULTIPLE_CHOICES
         encoded = "content-encoding" in fields
         return AnswerHead(
@@ -60,11 +61,11 @@
 
 
 def _read_notice(status: int, fields: Mapping[str, str]) -> TargetNotice:
-    """Read what the target that was meant says of itself."""
+    """Read the notice of the target that was addressed: whether it leaves or wants a back-off."""
     if status == HTTPStatus.MISDIRECTED_REQUEST:
-        # Another target has the address by now, and speaks for itself.
+        # Another target has taken over the address, and its notice is about itself.
         return NO_NOTICE
-    leaving = fields.get(names.LEAVING.lower(), "").strip() == names.IS_LEAVING
-    turned_away = status == HTTPStatus.SERVICE_UNAVAILABLE
-    rest = read_seconds(fields.get(names.RETRY_AFTER.lower(), "")) if turned_away else 0.0
-    return TargetNotice(leaving=leaving, backoff_seconds=rest) if leaving or rest else NO_NOTICE
+    leaving = fields.get(names.LEAVING.lower(), "").strip() == names.LEAVING_VALUE
+    refused = status == HTTPStatus.SERVICE_UNAVAILABLE
+    delay = read_seconds(fields.get(names.RETRY_AFTER.lower(), "")) if refused else 0.0
+    return TargetNotice(leaving=leaving, backoff_seconds=delay) if leaving or delay else NO_NOTICE
--- a/tests/test_loomyard_router/test_platform/test_callers.py
+++ b/tests/test_loomyard_router/test_platform/test_callers.py
@@ -1,4 +1,4 @@
-"""What of a caller's headers reaches a target."""
+"""Tests of which headers of callers are forwarded to targets."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from loomyard_router.platform.callers import PlatformCallers
 
-OWN = [
+ALLOWED = [
     ("Loomyard-Attempt-Id", "9c41"),
     ("loomyard-model", "m"),
     ("Loomyard-Token-Usage", "1460,80"),
@@ -15,19 +15,21 @@
 ]
 
 
-def passed(*headers: tuple[str, str]) -> list[tuple[str, str]]:
-    """Return what is passed of headers that stand between the caller's own."""
-    return PlatformCallers().decode_request_head([*OWN, *headers], 0.0).unwrap().forwarded_headers
+def forwarded(*headers: tuple[str, str]) -> list[tuple[str, str]]:
+    """Return the forwarded headers of a request with ``ALLOWED`` and other headers."""
+    return (
+        PlatformCallers().decode_request_head([*ALLOWED, *headers], 0.0).unwrap().forwarded_headers
+    )
 
 
-class PassedHeadersTest(unittest.TestCase):
-    """A target obeys the platform's headers, so a caller may set only those meant for callers."""
+class ForwardedHeadersTest(unittest.TestCase):
+    """Targets obey platform headers, so callers may set only those meant for callers."""
 
-    def test_headers_meant_for_callers_pass_as_they_are(self) -> None:
-        self.assertEqual(passed(), OWN)
-        self.assertEqual(passed(("Accept", "text/event-stream"))[-1][0], "Accept")
+    def test_headers_meant_for_callers_are_forwarded_unchanged(self) -> None:
+        self.assertEqual(forwarded(), ALLOWED)
+        self.assertEqual(forwarded(("Accept", "text/event-stream"))[-1][0], "Accept")
 
-    def test_orders_to_a_target_are_never_a_callers(self) -> None:
+    def test_instructions_to_a_target_are_not_forwarded(self) -> None:
         for name in (
             "Loomyard-Hold",
             "Loomyard-Pin-Ms",
@@ -36,24 +38,26 @@
             "Kv-Fetch",
         ):
             with self.subTest(name):
-                self.assertEqual(passed((name, "1")), OWN)
-                self.assertEqual(passed((name.upper(), "1"), (name.lower(), "2")), OWN)
-                self.assertEqual(passed((name, "1"), (name, "2"), ("Connection", name)), OWN)
+                self.assertEqual(forwarded((name, "1")), ALLOWED)
+                self.assertEqual(forwarded((name.upper(), "1"), (name.lower(), "2")), ALLOWED)
+                self.assertEqual(forwarded((name, "1"), (name, "2"), ("Connection", name)), ALLOWED)
 
-    def test_a_platform_header_that_is_not_known_is_not_passed(self) -> None:
-        self.assertEqual(passed(("Loomyard-Of-Next-Year", "1"), ("kv-anything", "2")), OWN)
+    def test_an_unknown_platform_header_is_not_forwarded(self) -> None:
+        self.assertEqual(forwarded(("Loomyard-Of-Next-Year", "1"), ("kv-anything", "2")), ALLOWED)
 
-    def test_what_the_router_words_itself_is_not_passed(self) -> None:
-        words = ["Loomyard-Tenant", "Loomyard-Expect-Instance", "Loomyard-Deadline-Ms"]
-        self.assertEqual(passed(*[(name, "7") for name in words]), OWN)
+    def test_headers_that_the_router_writes_itself_are_not_forwarded(self) -> None:
+        written = ["Loomyard-Tenant", "Loomyard-Expect-Instance", "Loomyard-Deadline-Ms"]
+        self.assertEqual(forwarded(*[(name, "7") for name in written]), ALLOWED)
 
-    def test_connection_names_what_ends_here_but_not_the_request_itself(self) -> None:
-        named = ("Connection", "X-Hop, Loomyard-Model, Loomyard-Attempt-Id")
-        self.assertEqual(passed(named, ("X-Hop", "1"), ("X-End", "2")), [*OWN, ("X-End", "2")])
+    def test_connection_drops_hop_by_hop_headers_but_not_caller_headers(self) -> None:
+        connection = ("Connection", "X-Hop, Loomyard-Model, Loomyard-Attempt-Id")
+        self.assertEqual(
+            forwarded(connection, ("X-Hop", "1"), ("X-End", "2")), [*ALLOWED, ("X-End", "2")]
+        )
 
-    def test_each_connection_header_counts(self) -> None:
+    def test_each_of_several_connection_headers_counts(self) -> None:
         named = [("Connection", "X-One"), ("X-One", "1"), ("Connection", "X-Two"), ("X-Two", "2")]
-        self.assertEqual(passed(*named), OWN)
+        self.assertEqual(forwarded(*named), ALLOWED)
 
 
 if __name__ == "__main__":
--- a/tests/test_loomyard_router/test_platform/test_documents.py
+++ b/tests/test_loomyard_router/test_platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Tests of decoding what stands in the platform's store."""
+"""Tests of decoding documents of the platform's store."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class TestConfiguration(unittest.TestCase):
-    def test_each_field_has_its_meaning(self) -> None:
+    def test_each_field_is_decoded(self) -> None:
         table = decode_configuration(document()).unwrap()
         route = table.find("a.example", "/a/b/c")
         assert route is not None
@@ -62,20 +62,20 @@
         self.assertFalse(table.keys_required)
         self.assertTrue(decode_configuration(document(tenants=[])).unwrap().keys_required)
 
-    def test_an_unknown_kind_is_not_repeated(self) -> None:
+    def test_requests_of_an_unknown_kind_are_not_repeated(self) -> None:
         table = decode_configuration(document(routes=[ROUTE | {"route_kind": "new"}])).unwrap()
         route = table.find("a.example", "/a/")
         assert route is not None
         self.assertFalse(route.repeatable)
 
-    def test_what_can_not_be_read_is_a_fault(self) -> None:
+    def test_an_unreadable_configuration_is_an_error(self) -> None:
         for data in (b"", b"{}", b"[]", b"null", document(version="x"), document(routes=[{}])):
             with self.subTest(data=data[:20]):
                 self.assertTrue(decode_configuration(data).is_err())
 
 
 class TestTarget(unittest.TestCase):
-    def test_an_announcement(self) -> None:
+    def test_an_announcement_is_decoded(self) -> None:
         data = {"service": "one", "address": "10.0.0.1:80", "zone": "z", "slots": 48}
         target = decode_target("i-1", json.dumps(data | {"state": "ready"}).encode()).unwrap()
         self.assertEqual(
@@ -85,7 +85,7 @@
         leaving = decode_target("i-1", json.dumps(data | {"state": "draining"}).encode())
         self.assertTrue(leaving.unwrap().draining)
 
-    def test_what_can_not_be_read_is_a_fault(self) -> None:
+    def test_an_unreadable_announcement_is_an_error(self) -> None:
         for data in (b"", b"{}", b"[]", b'{"service": "one"}'):
             self.assertTrue(decode_target("i-1", data).is_err())
 
--- a/tests/test_loomyard_router/test_platform/test_entries_of_others.py
+++ b/tests/test_loomyard_router/test_platform/test_malformed_entries.py
@@ -1,8 +1,8 @@
-"""Tests of entries that anybody may have written: they name nothing to use and hold nothing up.
+"""Tests of malformed entries: they yield no target or configuration and don't stop the feed.
 
-Seen on crafted entries before they were checked: a service that is a list, an address without a
-port, a state that is unknown or missing and slots of 1e18 were all taken as targets to use, a
-deeply nested text raised out of the decoder, and a record without a key stopped the feed for good.
+Anybody may write to the store. Without validation, entries with a list as the service, an address
+without a port, an unknown or missing state or 1e18 slots became usable targets, deeply nested JSON
+raised out of the decoder, and a record without a key stopped the feed for good.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
     "models": [{"name": "m", "version": 1, "adapters": []}],
     "seq_no": 4,
 }
-BAD: dict[str, tuple[object, ...]] = {
+INVALID: dict[str, tuple[object, ...]] = {
     "service": (["one"], 1, "", None, "a\r\nb", "\ud800", {"x": 1}, "x" * 300),
     "address": (80, "10.0.0.1", "10.0.0.1:", "10.0.0.1:99999999", "10.0.0.1:0", ":80", "x:80", []),
     "state": ("new", None, 1, True, ["ready"]),
@@ -47,7 +47,7 @@
     "cold_left_ms": ("3", -1, float("inf"), True, []),
     "born": ("1", -1, 1.5, 10**30, True),
 }
-KEYS = ("", "a\r\nX: y", "ä", "x" * 300)
+INVALID_KEYS = ("", "a\r\nX: y", "ä", "x" * 300)
 DEEP = b"[" * 200_000
 ROUNDS = 4_000
 VALUES: tuple[object, ...] = (
@@ -77,7 +77,7 @@
     return KeyedRecord(key=key, value=value, offset=offset)
 
 
-class BadEntriesTest(unittest.TestCase):
+class MalformedEntriesTest(unittest.TestCase):
     def setUp(self) -> None:
         self.registry = TargetRegistry(FakeClock())
         self.unreadable = UnreadableEntries()
@@ -87,9 +87,9 @@
     def usable(self) -> list[str]:
         return [target.id for target in self.registry.usable("one")]
 
-    def test_an_entry_with_one_bad_field_names_no_target(self) -> None:
+    def test_an_entry_with_one_invalid_field_yields_no_target(self) -> None:
         offset = 10
-        for field, values in BAD.items():
+        for field, values in INVALID.items():
             for value in values:
                 with self.subTest(field=field, value=value):
                     if value is None and field == "zone":
@@ -99,30 +99,30 @@
                     self.feed.apply_records([record(offset, "t-bad", bad)])
                     self.assertEqual(["t0", "t1"], self.usable())
 
-    def test_a_key_that_is_no_id_names_no_target(self) -> None:
-        for key in KEYS:
+    def test_an_entry_with_an_invalid_key_yields_no_target(self) -> None:
+        for key in INVALID_KEYS:
             self.feed.apply_records([record(10, key, json.dumps(GOOD).encode())])
         self.assertEqual(["t0", "t1"], self.usable())
-        self.assertEqual(len(KEYS), self.unreadable.counts["targets", UnreadableReason.KEY])
+        self.assertEqual(len(INVALID_KEYS), self.unreadable.counts["targets", UnreadableReason.KEY])
 
-    def test_what_is_no_document_raises_nothing(self) -> None:
+    def test_malformed_json_does_not_raise(self) -> None:
         for number, data in enumerate((b"", b"\xff\xfe", DEEP, b'{"a":' * 100_000, b"1" * 9_000)):
             self.assertTrue(decode_target("t", data).is_err())
             self.assertTrue(decode_configuration(data).is_err())
             self.feed.apply_records([record(number, "t-bad", data)])
         self.assertEqual(["t0", "t1"], self.usable())
 
-    def test_a_target_whose_entry_turns_bad_is_out_of_use_until_it_can_be_read(self) -> None:
+    def test_a_target_whose_entry_becomes_unreadable_is_not_used_until_it_is_readable(self) -> None:
         self.feed.apply_records([record(2, "t0", b"{}")])
         self.assertEqual(["t1"], self.usable())
         self.feed.apply_records([record(3, "t0", json.dumps(GOOD).encode())])
         self.assertEqual(["t0", "t1"], self.usable())
 
-    def test_all_entries_turning_bad_in_one_listing_is_no_lapse(self) -> None:
+    def test_a_listing_of_unreadable_entries_only_leaves_no_usable_target(self) -> None:
         self.feed.apply_listing([record(2, "t0", b"{}"), record(3, "t1", b"{}")], "")
         self.assertEqual([], self.usable())
 
-    def test_an_entry_that_is_listed_again_is_told_once_and_briefly(self) -> None:
+    def test_an_entry_that_is_read_again_is_logged_once_and_truncated(self) -> None:
         with mock.patch("loomyard_router.feeds.unreadable_entries.emit") as emit:
             for _ in range(5):
                 self.feed.apply_records([record(7, "t-bad", b"[" + b"1" * 100_000)])
@@ -130,7 +130,7 @@
         self.assertLessEqual(len(emit.call_args.kwargs["detail"]), MAX_DETAIL_CHARS)
         self.assertEqual(1, self.unreadable.counts.total())
 
-    def test_a_record_without_a_readable_key_holds_no_other_up(self) -> None:
+    def test_a_record_without_a_readable_key_does_not_block_later_records(self) -> None:
         good = bytes([2]) + b"t2" + json.dumps(GOOD).encode()
         contents = [b"", b"\xff", bytes([2]) + b"\xff\xfe" + b"{}", good]
         data = struct.pack(">QQ", 9, 5)
@@ -141,13 +141,13 @@
         self.assertEqual(["t0", "t1", "t2"], self.usable())
 
 
-class BadConfigurationsTest(unittest.TestCase):
+class MalformedConfigurationsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.holder = TableHolder(decode_configuration)
         self.unreadable = UnreadableEntries()
         self.feed = TableFeed(self.holder, "config", self.unreadable)
 
-    def test_of_several_versions_the_last_that_can_be_read_is_in_force(self) -> None:
+    def test_the_last_readable_version_is_in_force(self) -> None:
         versions = [document(version=1), document(version=2), b"{", document(version="3")]
         self.feed.apply_records([record(n, "config", data) for n, data in enumerate(versions)])
         self.assertEqual(2, self.holder.version)
@@ -159,41 +159,41 @@
 
 
 class MutatedEntriesTest(unittest.TestCase):
-    """Mutate good entries by a seed; what is used must be valid, and nothing else be lost."""
+    """Mutate valid entries by a fixed seed: accepted ones are valid, and others stay usable."""
 
     def setUp(self) -> None:
-        self.random = random.Random(20)
+        self.rng = random.Random(20)
 
     def mutate(self, value: Any) -> Any:
-        source = self.random
-        if isinstance(value, dict) and value and source.random() < 0.8:
-            key = source.choice(sorted(value))
+        rng = self.rng
+        if isinstance(value, dict) and value and rng.random() < 0.8:
+            key = rng.choice(sorted(value))
             changed = dict(value)
-            if source.random() < 0.2:
+            if rng.random() < 0.2:
                 del changed[key]
             else:
                 changed[key] = self.mutate(value[key])
             return changed
-        if isinstance(value, list) and value and source.random() < 0.8:
-            at = source.randrange(len(value))
+        if isinstance(value, list) and value and rng.random() < 0.8:
+            at = rng.randrange(len(value))
             return [*value[:at], self.mutate(value[at]), *value[at + 1 :]]
-        return source.choice(VALUES)
+        return rng.choice(VALUES)
 
     def encode(self, value: Any) -> bytes:
         data = json.dumps(value).encode()
-        kind = self.random.random()
-        if kind < 0.1:
-            return data[: self.random.randrange(len(data) + 1)]
-        if kind < 0.2:
-            at = self.random.randrange(len(data) + 1)
-            return data[:at] + self.random.randbytes(3) + data[at:]
+        choice = self.rng.random()
+        if choice < 0.1:
+            return data[: self.rng.randrange(len(data) + 1)]
+        if choice < 0.2:
+            at = self.rng.randrange(len(data) + 1)
+            return data[:at] + self.rng.randbytes(3) + data[at:]
         return data
 
     def test_targets(self) -> None:
         registry = TargetRegistry(FakeClock())
         feed = TargetFeed(registry, decode_target, UnreadableEntries())
         feed.apply_listing([record(0, "good", json.dumps(GOOD).encode())], "")
-        read = 0
+        accepted = 0
         for offset in range(1, ROUNDS):
             value = self.encode(self.mutate(GOOD))
             feed.apply_records([record(offset, "mutated", value)])
@@ -205,9 +205,9 @@
                 self.assertTrue(type(target.slots) is int and 1 <= target.slots <= 100_000)
                 self.assertTrue(0.0 <= target.cold_seconds <= 86_400.0)
                 f"{target.id} {target.service} {target.data_centre}".encode("latin-1")
-            read += len(registry.listed()) - 1
-        self.assertGreater(read, ROUNDS / 20)
-        self.assertLess(read, ROUNDS)
+            accepted += len(registry.listed()) - 1
+        self.assertGreater(accepted, ROUNDS / 20)
+        self.assertLess(accepted, ROUNDS)
 
     def test_configurations(self) -> None:
         good = json.loads(document())
--- a/tests/test_loomyard_router/test_platform/test_settings_file.py
+++ b/tests/test_loomyard_router/test_platform/test_settings_file.py
@@ -1,4 +1,4 @@
-"""Tests of the settings file."""
+"""Tests of reading the settings file."""
 
 from __future__ import annotations
 
@@ -39,19 +39,19 @@
         text = TEXT.replace("platform.address", "elsewhere")
         self.assertIn("platform.address", parse_settings_text(text).unwrap_err())
 
-    def test_a_value_that_can_not_be_read(self) -> None:
+    def test_an_invalid_value_is_an_error(self) -> None:
         self.assertTrue(parse_settings_text(TEXT.replace("grace_s=8", "grace_s=x")).is_err())
 
-    def test_a_missing_file(self) -> None:
+    def test_a_missing_file_is_an_error(self) -> None:
         self.assertTrue(read_settings({}).is_err())
 
-    def test_two_secrets_while_one_is_changed(self) -> None:
+    def test_two_secrets_are_accepted_during_rotation(self) -> None:
         with tempfile.NamedTemporaryFile("w") as file:
             file.write(TEXT)
             file.flush()
             environment = {names.SETTINGS_VARIABLE: file.name}
-            changing = environment | {FLEET_SECRET_VARIABLE: "old, new"}
-            self.assertEqual(("old", "new"), read_settings(changing).unwrap().fleet_secret)
+            rotating = environment | {FLEET_SECRET_VARIABLE: "old, new"}
+            self.assertEqual(("old", "new"), read_settings(rotating).unwrap().fleet_secret)
             for wrong in ("", "a,b,c"):
                 read = read_settings(environment | {FLEET_SECRET_VARIABLE: wrong})
                 self.assertIn(FLEET_SECRET_VARIABLE, read.unwrap_err())
--- a/tests/test_loomyard_router/test_platform/test_settings_watch.py
+++ b/tests/test_loomyard_router/test_platform/test_settings_watch.py
@@ -1,4 +1,4 @@
-"""Tests of settings that change while a router runs."""
+"""Tests of reloading settings that change while a router runs."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name) / "settings.conf"
         self.path.write_text(TEXT)
-        self.taken: list = []
+        self.reloaded: list = []
         environment = {names.SETTINGS_VARIABLE: str(self.path), FLEET_SECRET_VARIABLE: "secret"}
-        self.watch = SettingsWatch(environment, FakeClock(), self.taken.append)
+        self.watch = SettingsWatch(environment, FakeClock(), self.reloaded.append)
 
-    def test_a_changed_file_is_read_without_a_signal(self) -> None:
-        self.watch.look()
-        self.assertEqual([], self.taken)
+    def test_a_changed_file_is_reloaded_without_a_signal(self) -> None:
+        self.watch.reload_if_changed()
+        self.assertEqual([], self.reloaded)
         self.path.write_text(TEXT.replace("grace_s=8", "grace_s=12.5"))
-        self.watch.look()
-        self.watch.look()
-        self.assertEqual([12.5], [settings.grace for settings in self.taken])
+        self.watch.reload_if_changed()
+        self.watch.reload_if_changed()
+        self.assertEqual([12.5], [settings.grace for settings in self.reloaded])
 
-    def test_a_signal_reads_it_in_any_case(self) -> None:
+    def test_a_signal_reloads_an_unchanged_file(self) -> None:
         self.watch.reload()
-        self.assertEqual(1, len(self.taken))
+        self.assertEqual(1, len(self.reloaded))
 
-    def test_what_can_not_be_read_changes_nothing(self) -> None:
+    def test_an_unreadable_file_changes_nothing(self) -> None:
         self.path.write_text("half a fi")
-        self.watch.look()
-        self.assertEqual([], self.taken)
+        self.watch.reload_if_changed()
+        self.assertEqual([], self.reloaded)
 
 
 if __name__ == "__main__":
--- a/tests/test_loomyard_router/test_platform/test_store_archive.py
+++ b/tests/test_loomyard_router/test_platform/test_store_archive.py
@@ -1,4 +1,4 @@
-"""Tests of what routers keep in the platform's store."""
+"""Tests of the archive in the platform's store and of the eras of its answers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from loomyard.util.tcp import NoDelayServer
 from loomyard_router.feeds.store_era import StoreEra
 from loomyard_router.platform.store_archive import StoreArchive
-from loomyard_router.platform.store_calls import read_era
+from loomyard_router.platform.store_client import parse_era
 from loomyard_standins.programs.store_program import StoreProgram
 
 WAIT = 10.0
@@ -30,12 +30,12 @@
     def deadline(self) -> float:
         return self.clock.now() + WAIT
 
-    def test_what_was_written_is_read_and_what_was_dropped_is_not(self) -> None:
+    def test_written_values_are_read_and_deleted_ones_are_not(self) -> None:
         for key, value in (("a", b"1"), ("b", b"2"), ("a", b"\x00\xff"), ("b", None)):
             self.assertTrue(self.archive.write(key, value, self.deadline).is_ok())
         self.assertEqual({"a": b"\x00\xff"}, self.archive.read(self.deadline).unwrap())
 
-    def test_the_era_of_each_answer_is_heard_and_earlier_ones_are_dropped(self) -> None:
+    def test_each_answer_updates_the_era_and_answers_of_earlier_eras_are_errors(self) -> None:
         self.store.era = 3
         self.assertTrue(self.archive.write("a", b"1", self.deadline).is_ok())
         self.assertEqual(3, self.archive.era)
@@ -46,12 +46,12 @@
         self.assertTrue(self.archive.read(self.deadline).is_err())
         self.assertTrue(self.archive.write("a", b"2", self.deadline).is_err())
 
-    def test_eras_that_can_not_be_read_are_none(self) -> None:
+    def test_an_invalid_era_is_ignored(self) -> None:
         for text in (None, "", "-1", "1.0", "x", "9" * 40, ["1", "2"]):
-            self.assertIsNone(read_era(text), text)
-        self.assertEqual(7, read_era("7"))
+            self.assertIsNone(parse_era(text), text)
+        self.assertEqual(7, parse_era("7"))
 
-    def test_a_store_that_refuses_is_a_fault(self) -> None:
+    def test_a_refusal_by_the_store_is_an_error(self) -> None:
         self.store.busy = True
         for outcome in (
             self.archive.read(self.deadline),
