--- a/packages/loomyard-router/src/loomyard_router/__init__.py
+++ b/packages/loomyard-router/src/loomyard_router/__init__.py
@@ -1,1 +1,1 @@
-"""The loomyard router: from callers to targets, in fair shares."""
+"""The loomyard router: forwards requests to targets, which client accounts share fairly."""
--- a/packages/loomyard-router/src/loomyard_router/__main__.py
+++ b/packages/loomyard-router/src/loomyard_router/__main__.py
@@ -24,7 +24,7 @@
 
 
 def main() -> int:
-    """Run a router until it is told to stop."""
+    """Run a router until a signal or an operator stops it; return the exit status."""
     match parse_settings(sys.argv[1:], os.environ):
         case Err(faults):
             for fault in faults:
--- a/packages/loomyard-router/src/loomyard_router/application.py
+++ b/packages/loomyard-router/src/loomyard_router/application.py
@@ -1,4 +1,4 @@
-"""The application: one router, wired."""
+"""The application of a router whose configuration comes from the log service."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from loomyard_router.claims.log_claims import make_log_claims
 from loomyard_router.configuration.distribution import make_distribution
 from loomyard_router.configuration.follower import ConfigFollower
-from loomyard_router.fleet_parts import make_fleet_parts
+from loomyard_router.fleet_components import make_fleet_components
 from loomyard_router.metrics.exposition import MetersCollector
 from loomyard_router.metrics.meters import Meters
 from loomyard_router.metrics.server import MetricsServer
@@ -55,23 +55,23 @@
 
 
 class Application:
-    """One router."""
+    """One router: its listeners and components, their start and their stop."""
 
     def __init__(
         self,
         settings: Settings,
         platform: Platform,
-        parts: Parts,
+        components: Parts,
         callers: CallersApp,
         *,
-        serving: RequestPipeline,
+        pipeline: RequestPipeline,
         meters: Meters,
     ) -> None:
-        self.parts = parts
+        self.parts = components
         self.callers = callers
         self._settings = settings
         self._clock = platform.clock
-        self._pipeline = serving
+        self._pipeline = pipeline
         self._in_flight = InFlight(platform.clock)
         self._drained: GeventEvent | None = None
         self._server = CallerServer(
@@ -82,13 +82,13 @@
             in_flight=self._in_flight,
             **_tls_options(settings),
         )
-        collector = MetersCollector(meters, parts.traffic, lambda: len(self._in_flight))
+        collector = MetersCollector(meters, components.traffic, lambda: len(self._in_flight))
         self.metrics = MetricsServer(settings.metrics_listen, lambda: callers.ready, collector)
         self.operators = make_operators_interface(
             settings,
             platform,
-            parts,
-            stopping=lambda: serving.stopping,
+            components,
+            stopping=lambda: pipeline.stopping,
             begin_stop=self.request_stop,
         )
         self._stop_listeners: list[Callable[[], None]] = []
@@ -98,38 +98,43 @@
         return self._server.server_port
 
     def on_stop_request(self, listener: Callable[[], None]) -> None:
-        """Call back when an operator asks for a planned stop."""
+        """Call back when an operator requests a graceful shutdown."""
         self._stop_listeners.append(listener)
 
     def request_stop(self) -> None:
-        """Ask for a planned stop, as a signal to the process does."""
+        """Request a graceful shutdown, as a signal to the process does."""
         for listener in self._stop_listeners:
             listener()
 
     def start(self) -> None:
-        """Start to follow the configuration and to serve callers."""
-        parts = self.parts
-        parts.follower.subscribe(parts.targets.reconfigure)
-        parts.follower.subscribe(parts.policy.reconfigure)
-        for part in (parts.peers, parts.members, parts.follower, parts.targets):
-            part.start()
-        if parts.vm_watch is not None:
-            parts.vm_watch.start()
-        if parts.table_sync is not None:
-            parts.table_sync.start()
-        parts.claims.start()
-        parts.policy.start()
-        parts.distribution.start()
-        if parts.orders is not None:
-            parts.follower.subscribe(parts.orders.reconfigure)
-            parts.orders.start()
+        """Start following the configuration and serving callers."""
+        components = self.parts
+        components.follower.subscribe(components.targets.reconfigure)
+        components.follower.subscribe(components.policy.reconfigure)
+        for component in (
+            components.peers,
+            components.members,
+            components.follower,
+            components.targets,
+        ):
+            component.start()
+        if components.vm_list_poller is not None:
+            components.vm_list_poller.start()
+        if components.table_sync is not None:
+            components.table_sync.start()
+        components.claims.start()
+        components.policy.start()
+        components.distribution.start()
+        if components.orders is not None:
+            components.follower.subscribe(components.orders.reconfigure)
+            components.orders.start()
         self._server.start()
         self.operators.start()
         self.metrics.start()
         emit(logger, Event.ROUTER_STARTED, name=self._settings.name, port=self.port)
 
     def drain(self) -> None:
-        """Stop as planned: refuse new and waiting work, let what runs end, then stop.
+        """Shut down gracefully: refuse new and queued requests, let running ones end, then stop.
 
         A second call waits for the first.
         """
@@ -147,53 +152,58 @@
         self._drained.set()
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop at once, without waiting for requests in flight."""
         self.operators.stop()
         self.metrics.stop()
         self._server.stop()
-        parts = self.parts
-        parts.distribution.stop()
-        if parts.orders is not None:
-            parts.orders.stop()
-        parts.policy.stop()
-        parts.claims.stop()
-        if parts.vm_watch is not None:
-            parts.vm_watch.stop()
-        if parts.table_sync is not None:
-            parts.table_sync.stop()
-        for part in (parts.targets, parts.follower, parts.members, parts.peers):
-            part.stop()
+        components = self.parts
+        components.distribution.stop()
+        if components.orders is not None:
+            components.orders.stop()
+        components.policy.stop()
+        components.claims.stop()
+        if components.vm_list_poller is not None:
+            components.vm_list_poller.stop()
+        if components.table_sync is not None:
+            components.table_sync.stop()
+        for component in (
+            components.targets,
+            components.follower,
+            components.members,
+            components.peers,
+        ):
+            component.stop()
 
 
 def make_platform(settings: Settings) -> Platform:
-    """Connect to the outside systems that the settings name."""
+    """Connect to the external systems that the settings name."""
     clock = SystemClock()
     log = connect_log(settings.log_service)
     vm_list = connect_vm_list(settings.vm_list) if settings.vm_list else None
-    store = settings.weight_store
+    address = settings.weight_store
     return Platform(
         clock=clock,
         log=log,
         engine=make_http_engine(clock),
         vm_list=vm_list,
-        weight_store=connect_weight_store(store, clock) if store else None,
+        weight_store=connect_weight_store(address, clock) if address else None,
     )
 
 
 def make_application(settings: Settings, platform: Platform | None = None) -> Application:
-    """Wire a router from its settings."""
+    """Create and wire the components of a router from its settings."""
     platform = platform or make_platform(settings)
     clock = platform.clock
-    fleet = make_fleet_parts(settings, clock, platform.vm_list)
+    fleet = make_fleet_components(settings, clock, platform.vm_list)
     follower = ConfigFollower(platform.log, clock)
     targets = make_known_targets(clock, platform.engine, fleet.members, fleet.peers)
-    if fleet.vm_watch is not None:
-        fleet.vm_watch.subscribe(targets.apply_vm_list)
-    parts = Parts(
+    if fleet.vm_list_poller is not None:
+        fleet.vm_list_poller.subscribe(targets.apply_vm_list)
+    components = Parts(
         members=fleet.members,
         peers=fleet.peers,
         traffic=fleet.traffic,
-        vm_watch=fleet.vm_watch,
+        vm_list_poller=fleet.vm_list_poller,
         table_sync=fleet.table_sync,
         follower=follower,
         distribution=make_distribution(
@@ -210,40 +220,46 @@
         ),
         journal=Journal(clock),
     )
-    resuming = StreamResumer(
+    stream_resumer = StreamResumer(
         clock=clock,
         follower=follower,
         engine=platform.engine,
         tokens=StreamTokens(settings.fleet_secret),
-        pending=PendingResumes(clock, parts.peers, settings.name, seconds=settings.resume_seconds),
+        pending=PendingResumes(
+            clock, components.peers, settings.name, seconds=settings.resume_seconds
+        ),
     )
     meters = Meters(clock)
-    serving = RequestPipeline(
+    pipeline = RequestPipeline(
         clock=clock,
-        follower=parts.follower,
-        policy=parts.policy,
-        targets=parts.targets,
-        claims=parts.claims,
+        follower=components.follower,
+        policy=components.policy,
+        targets=components.targets,
+        claims=components.claims,
         engine=platform.engine,
         estimates=CostEstimates(),
-        journal=parts.journal,
-        stream_resumer=resuming,
+        journal=components.journal,
+        stream_resumer=stream_resumer,
         meters=meters,
     )
-    RefusalNotifier(clock, parts.members, parts.peers, serving.backlog)
-    parts.orders = make_order_controller(
+    RefusalNotifier(clock, components.members, components.peers, pipeline.backlog)
+    components.orders = make_order_controller(
         clock=clock,
         log=platform.log,
         engine=platform.engine,
-        members=parts.members,
-        targets=parts.targets,
+        members=components.members,
+        targets=components.targets,
         weights=platform.weight_store,
-        backlog=_join_backlogs(serving, parts.policy),
+        backlog=_join_backlogs(pipeline, components.policy),
     )
     callers = CallersApp(
-        clock=clock, follower=follower, pipeline=serving, stream_resumer=resuming, meters=meters
+        clock=clock,
+        follower=follower,
+        pipeline=pipeline,
+        stream_resumer=stream_resumer,
+        meters=meters,
     )
-    return Application(settings, platform, parts, callers, serving=serving, meters=meters)
+    return Application(settings, platform, components, callers, pipeline=pipeline, meters=meters)
 
 
 def _tls_options(settings: Settings) -> dict[str, str]:
@@ -272,7 +288,7 @@
     )
 
 
-def _join_backlogs(serving: RequestPipeline, policy: SharePolicy) -> BacklogView:
+def _join_backlogs(pipeline: RequestPipeline, policy: SharePolicy) -> BacklogView:
     if isinstance(policy, FleetPolicy):
-        return CombinedBacklog((serving.backlog, policy))
-    return serving.backlog
+        return CombinedBacklog((pipeline.backlog, policy))
+    return pipeline.backlog
--- a/packages/loomyard-router/src/loomyard_router/fleet_parts.py
+++ b/packages/loomyard-router/src/loomyard_router/fleet_components.py
@@ -1,4 +1,4 @@
-"""Make the parts by which a router knows and reaches the others."""
+"""Create the components by which a router knows and reaches the other routers."""
 
 from __future__ import annotations
 
@@ -29,25 +29,30 @@
 
 
 @frozen(kw_only=True)
-class FleetParts:
-    """Membership, links, their traffic, and the watch of the VM list where there is one."""
+class FleetComponents:
+    """Membership, peer links and their traffic; poller and table sync only where they are used."""
 
     members: Membership
     peers: PeerLinks
     traffic: TrafficCounters
-    vm_watch: VmListPoller | None = None
+    vm_list_poller: VmListPoller | None = None
     table_sync: TableSync | None = None
 
 
-def make_fleet_parts(settings: Settings, clock: Clock, vm_list: VmList | None = None) -> FleetParts:
-    """Make the parts that the settings ask for; without ``peer_listen`` a fleet of one."""
+def make_fleet_components(
+    settings: Settings, clock: Clock, vm_list: VmList | None = None
+) -> FleetComponents:
+    """Create the components for the settings; without ``peer_listen`` the fleet is this router."""
     traffic = TrafficCounters()
-    # Starts of one name have to grow; there is no disk to count them on.
+    # The incarnation has to grow with each start under one name. There is no disk to keep a
+    # counter on, so it is the wall clock in milliseconds.
     incarnation = int(clock.wall() * MILLISECONDS)
-    vm_watch = VmListPoller(vm_list, clock) if vm_list else None
+    vm_list_poller = VmListPoller(vm_list, clock) if vm_list else None
     if not settings.peer_listen:
         sole = SoleMembership(_own_member(settings, incarnation, ""))
-        return FleetParts(members=sole, peers=NoPeers(), traffic=traffic, vm_watch=vm_watch)
+        return FleetComponents(
+            members=sole, peers=NoPeers(), traffic=traffic, vm_list_poller=vm_list_poller
+        )
     secret = make_fleet_secret(settings.fleet_secret)
     tls = make_peer_tls(
         certificate=settings.peer_certificate,
@@ -72,13 +77,13 @@
         traffic=traffic,
         tls=tls,
     )
-    if vm_watch is not None:
-        vm_watch.subscribe(members.apply_vm_list)
-    return FleetParts(
+    if vm_list_poller is not None:
+        vm_list_poller.subscribe(members.apply_vm_list)
+    return FleetComponents(
         members=members,
         peers=peers,
         traffic=traffic,
-        vm_watch=vm_watch,
+        vm_list_poller=vm_list_poller,
         table_sync=TableSync(members, peers, clock),
     )
 
--- a/packages/loomyard-router/src/loomyard_router/own_time.py
+++ b/packages/loomyard-router/src/loomyard_router/own_time.py
@@ -1,4 +1,4 @@
-"""Waits for others from which the time is taken out for which this process was late itself."""
+"""Waits for answers that don't count the event-loop lag of this process as time of the peer."""
 
 from __future__ import annotations
 
@@ -15,75 +15,75 @@
     from typing import Any
 
 
-# Seconds for which a process that is not behind gives up its turn, to see what reached its sockets.
-TURN_SECONDS = 0.001
-# A turn that took this much longer says that answers may lie unread; less is the mean of a turn.
+# Duration of a loop pass without lag: the loop polls its sockets while this task sleeps.
+PASS_SECONDS = 0.001
+# Lag in seconds; above it answers may lie unread in the sockets. An average pass has less.
 NEGLIGIBLE_LAG = 0.005
-# Seconds by which a wait is drawn out at most: beyond that a caller is served too late anyway.
-MOST_DRAWN_OUT = 0.25
+# Limit of the extension of a wait; a request that waits longer is answered too late anyway.
+MAX_EXTENSION_SECONDS = 0.25
 
 
 def take_turn(clock: Clock) -> float:
-    """Let all run that is ready, also what came to sockets; return by how much that was late."""
-    began = clock.now()
-    clock.sleep(TURN_SECONDS)
-    # A timer fires between two slices of the queue of ready tasks; a task goes to its end.
+    """Run all ready tasks, also those of readable sockets; return the lag in seconds."""
+    started_at = clock.now()
+    clock.sleep(PASS_SECONDS)
+    # A timer fires between two slices of the queue of ready tasks; a new task runs after all of it.
     gevent.spawn(_do_nothing).join()
-    return max(0.0, clock.now() - began - TURN_SECONDS)
+    return max(0.0, clock.now() - started_at - PASS_SECONDS)
 
 
 @define(eq=False)
 class AnswerWait:
-    """The wait for one answer: the other side has its time from when the question left.
+    """The wait for one answer, with the full time for the peer from when the request was sent.
 
-    An answer counts from when it reached the socket. So once the time is over, this process reads
-    what came, and as long as it is behind with that, it judges nobody.
+    An answer counts as soon as it reached the socket, even if this process has not read it. So when
+    the time is over, loop passes read the sockets, and the wait is extended while passes lag.
     """
 
     clock: Clock
     deadline: float
-    turn: Callable[[Clock], float] = take_turn
+    loop_pass: Callable[[Clock], float] = take_turn
     answer: AsyncResult = field(factory=AsyncResult)
-    _asked_at: float = field(init=False)
+    _created_at: float = field(init=False)
     _sent_at: float | None = None
 
     def __attrs_post_init__(self) -> None:
-        self._asked_at = self.clock.now()
+        self._created_at = self.clock.now()
 
     @property
-    def last(self) -> float:
-        """Return when the wait ends however late this process is."""
-        return self.deadline + MOST_DRAWN_OUT
+    def latest_end(self) -> float:
+        """Return when the wait ends regardless of the lag of this process."""
+        return self.deadline + MAX_EXTENSION_SECONDS
 
     def note_sent(self) -> None:
-        """Take in that the question left this process."""
+        """Record that the request left this process."""
         self._sent_at = self.clock.now()
 
     def settle(self, value: Any) -> None:
-        """Take in the answer."""
+        """Set the answer and end the wait."""
         self.answer.set(value)
 
     def wait(self) -> bool:
-        """Wait; tell whether the answer came."""
+        """Wait for the answer; return whether it came."""
         until = self.deadline
-        while not self._came_by(until):
-            due = min(self.last, self._due)
+        while not self._is_answered_by(until):
+            due = min(self.latest_end, self._answer_due)
             if due > until:
                 until = due
                 continue
-            lag = self.turn(self.clock)
-            if self.answer.ready() or lag <= NEGLIGIBLE_LAG or self.clock.now() >= self.last:
+            lag = self.loop_pass(self.clock)
+            if self.answer.ready() or lag <= NEGLIGIBLE_LAG or self.clock.now() >= self.latest_end:
                 break
-            until = min(self.last, self.clock.now() + lag)
+            until = min(self.latest_end, self.clock.now() + lag)
         return self.answer.ready()
 
     @property
-    def _due(self) -> float:
-        """Return when the other side has had its time; one that heard nothing yet has it all."""
-        since = self.clock.now() if self._sent_at is None else self._sent_at
-        return self.deadline + since - self._asked_at
+    def _answer_due(self) -> float:
+        """Return when the peer has had its full time, counted from now if nothing was sent yet."""
+        sent_at = self.clock.now() if self._sent_at is None else self._sent_at
+        return self.deadline + sent_at - self._created_at
 
-    def _came_by(self, until: float) -> bool:
+    def _is_answered_by(self, until: float) -> bool:
         self.answer.wait(timeout=max(0.0, until - self.clock.now()))
         return self.answer.ready()
 
--- a/packages/loomyard-router/src/loomyard_router/parts.py
+++ b/packages/loomyard-router/src/loomyard_router/parts.py
@@ -1,4 +1,4 @@
-"""The parts of a router, as the application wires them."""
+"""The components of a router, which the application wires together."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @define(kw_only=True, eq=False)
 class Platform:
-    """The outside systems and the clock; ``None`` where the settings name none."""
+    """The clock and the external systems; ``None`` for those that the settings don't name."""
 
     clock: Clock
     log: LogService
@@ -36,7 +36,7 @@
 
 @define(kw_only=True, eq=False)
 class Parts:
-    """What works together in one router."""
+    """The components that work together in one router."""
 
     members: Membership
     peers: PeerLinks
@@ -47,6 +47,6 @@
     claims: ClaimKeeper
     journal: Journal
     traffic: TrafficCounters = field(factory=TrafficCounters)
-    vm_watch: VmListPoller | None = None
+    vm_list_poller: VmListPoller | None = None
     table_sync: TableSync | None = None
     orders: OrderController | None = None
--- a/packages/loomyard-router/src/loomyard_router/ready_listener.py
+++ b/packages/loomyard-router/src/loomyard_router/ready_listener.py
@@ -1,4 +1,4 @@
-"""The listener of the balancer's readiness checks."""
+"""The listener for readiness checks of the load balancer."""
 
 from __future__ import annotations
 
--- a/packages/loomyard-router/src/loomyard_router/routed_application.py
+++ b/packages/loomyard-router/src/loomyard_router/routed_application.py
@@ -1,4 +1,4 @@
-"""The application for a platform that publishes routes and lists targets: one router, wired."""
+"""The application of a router on a platform that publishes routes and announces targets."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 from loomyard_router.feeds.store_era import StoreEra
 from loomyard_router.feeds.unreadable_entries import UnreadableEntries
 from loomyard_router.feeds.unreadable_entry import UnreadableEntry
-from loomyard_router.fleet_parts import make_fleet_parts
+from loomyard_router.fleet_components import make_fleet_components
 from loomyard_router.metrics.lazy_server import make_lazy_metrics
 from loomyard_router.metrics.meters import Meters
 from loomyard_router.ready_listener import ReadyListener
@@ -67,17 +67,20 @@
 
 logger = logging.getLogger(__name__)
 
-# The balancer takes a router out after two of its checks, a second apart, found it not ready.
-UNLISTED_SECONDS = 2.5
-# What is left of the grace for the end of the process itself.
-GRACE_MARGIN = 0.6
-# The part of the fleet's slack for retries that is dealt out to the routers.
-SLACK_PART = 0.5
+# The load balancer removes a router after two failed readiness checks, which are one second apart.
+UNLISTING_SECONDS = 2.5
+# Seconds of the grace that are left for the exit of the process after its last request.
+GRACE_MARGIN_SECONDS = 0.6
+# Fraction of the fleet's retry slack that is divided among its routers.
+SLACK_FRACTION = 0.5
 
 
 @frozen(kw_only=True)
 class RoutedPlatform:
-    """What an adapter brings: feeds, how to read them, and how callers and targets speak."""
+    """What an adapter provides: feeds and their decoders, codecs, readiness path, crash archive.
+
+    ``find_emptied_data_centre`` returns the data centre that the key of a record evacuates.
+    """
 
     clock: Clock
     tables: Feed
@@ -94,7 +97,7 @@
 
 
 class RoutedApplication:
-    """One router on such a platform."""
+    """One router on such a platform: its listeners and components, their start and their stop."""
 
     def __init__(self, settings: RoutedSettings, platform: RoutedPlatform) -> None:
         clock = platform.clock
@@ -102,22 +105,22 @@
         self._clock = clock
         self.stopping = False
         self.closing = False
-        source = random.Random()
+        rng = random.Random()
         self.holder = TableHolder(platform.decode_table)
         self.registry = TargetRegistry(clock)
-        self._emptied = EvacuatedDataCentres(platform.find_emptied_data_centre)
-        self._emptied.subscribe(self.registry.set_evacuated)
+        self._evacuated = EvacuatedDataCentres(platform.find_emptied_data_centre)
+        self._evacuated.subscribe(self.registry.set_evacuated)
         self._unreadable = UnreadableEntries()
         self._tables = FeedFollower(
             platform.tables,
             FanOutConsumer(
                 (
-                    self._emptied,
+                    self._evacuated,
                     TableFeed(self.holder, platform.table_key, self._unreadable),
                 )
             ),
             clock,
-            source,
+            rng,
             min_read_interval=settings.feed_pace,
             era=platform.era,
             rollback_policy=OrderRollbackPolicy(platform.find_emptied_data_centre),
@@ -126,22 +129,22 @@
             platform.targets,
             TargetFeed(self.registry, platform.decode_target, self._unreadable),
             clock,
-            source,
+            rng,
             min_read_interval=settings.feed_pace,
             era=platform.era,
             rollback_policy=TargetRollbackPolicy(platform.decode_target),
         )
         self._pool = ConnectionPool(clock)
-        self.fleet = make_fleet_parts(_fleet_settings(settings), clock)
+        self.fleet = make_fleet_components(_fleet_settings(settings), clock)
         self.members, peers = self.fleet.members, self.fleet.peers
-        self._exchange = FeedExchange(
+        self._feed_exchange = FeedExchange(
             clock=clock,
             members=self.members,
             peers=peers,
             followers=(self._tables, self._targets),
-            source=source,
+            source=rng,
         )
-        self._lag = LoopLag(clock, max_lag=settings.most_lag)
+        self._loop_lag = LoopLag(clock, max_lag=settings.most_lag)
         self._admission = make_admission(
             clock=clock,
             registry=self.registry,
@@ -149,32 +152,32 @@
             members=self.members,
             peers=peers,
             window=settings.share_window,
-            rng=source,
-            lag=lambda: self._lag.seconds,
+            rng=rng,
+            lag=lambda: self._loop_lag.seconds,
         )
-        self._leavings = LeavingExchange(clock, self.registry, self.members)
-        self._crashes = CrashLedger(clock)
+        self._leaving_exchange = LeavingExchange(clock, self.registry, self.members)
+        self._crash_ledger = CrashLedger(clock)
         self._crash_exchange = CrashExchange(
-            clock=clock, ledger=self._crashes, members=self.members, peers=peers, source=source
+            clock=clock, ledger=self._crash_ledger, members=self.members, peers=peers, source=rng
         )
-        self._crash_memory: CrashPersister | None = None
+        self._crash_persister: CrashPersister | None = None
         if platform.crashes is not None:
-            self._crash_memory = CrashPersister(
+            self._crash_persister = CrashPersister(
                 clock=clock,
-                ledger=self._crashes,
+                ledger=self._crash_ledger,
                 archive=platform.crashes,
                 members=self.members,
             )
-        probe = LivenessProbe(
+        liveness_probe = LivenessProbe(
             clock=clock,
             registry=self.registry,
             pool=self._pool,
             codec=platform.target_codec,
             holder=self.holder,
         )
-        self._check = CoalescedProbe(probe.has_ended)
-        self._guard = CrashGuard(clock, self._crashes, self._check)
-        self.bodies = BodyBudget(settings.body_bytes, source)
+        self._probe = CoalescedProbe(liveness_probe.has_ended)
+        self._crash_guard = CrashGuard(clock, self._crash_ledger, self._probe)
+        self.bodies = BodyBudget(settings.body_bytes, rng)
         self.unread = UnreadAnswers(clock, self.bodies)
         forwarder = Forwarder(
             clock=clock,
@@ -182,13 +185,13 @@
             sender=AttemptSender(clock, self.registry, self._pool, platform.target_codec),
             health=self._admission.health,
             registry=self.registry,
-            guard=self._guard,
+            guard=self._crash_guard,
             retry_budget=RetryBudget(
                 per_request=settings.retries.ratio,
                 max_tokens=self._retry_slack,
             ),
             coalescer=EventCoalescer(
-                clock=clock, max_delay=settings.event_seconds, lag=lambda: self._lag.seconds
+                clock=clock, max_delay=settings.event_seconds, lag=lambda: self._loop_lag.seconds
             ),
             unread_answers=self.unread,
         )
@@ -201,7 +204,7 @@
             forwarder=forwarder,
             closing_connections=lambda: self.stopping or self._listener.over_connection_limit,
             refusing_requests=lambda: self.closing,
-            overloaded=lambda: self._lag.overloaded,
+            overloaded=lambda: self._loop_lag.overloaded,
             bodies=self.bodies,
         )
         self._in_flight = InFlight(clock)
@@ -216,7 +219,7 @@
                 holder=self.holder,
                 codec=platform.caller_codec,
                 backlog=self._admission.backlog,
-                overloaded=lambda: self._lag.overloaded,
+                overloaded=lambda: self._loop_lag.overloaded,
                 retry_hint=self._admission.retry_hint,
                 meters=meters,
             ),
@@ -229,12 +232,12 @@
             meters=meters,
             traffic=self.fleet.traffic,
             in_flight=lambda: self.in_flight,
-            feeds=self._exchange.states,
+            feeds=self._feed_exchange.states,
             announced=TargetMetrics(
-                evacuated=lambda: len(self._emptied.names),
+                evacuated=lambda: len(self._evacuated.names),
                 cold=self._admission.cold_targets.count,
-                suspected=self._crashes.count_suspected,
-                blocked=self._crashes.count_blocked,
+                suspected=self._crash_ledger.count_suspected,
+                blocked=self._crash_ledger.count_blocked,
                 restarts=lambda: self.registry.restarts,
                 backing_off=lambda: self.registry.notices.backing_off,
                 leaving_count=lambda: self.registry.notices.leaving_count,
@@ -248,7 +251,7 @@
                 aborted=lambda: self.unread.aborted,
             ),
         )
-        self.registry.subscribe(self._forget)
+        self.registry.subscribe(self._retain_listed)
 
     @property
     def port(self) -> int:
@@ -267,23 +270,23 @@
         return len(self._in_flight)
 
     def start(self) -> None:
-        """Start to follow the feeds and to serve callers."""
+        """Start following the feeds and serving callers."""
         if any(secret.startswith(EXAMPLE_SECRET) for secret in self._settings.fleet_secret):
             emit(logger, Event.EXAMPLE_SECRET_USED, setting=FLEET_SECRET_VARIABLE)
-        parts = (
+        components = (
             self.fleet.peers,
             self.members,
             self._admission,
-            self._exchange,
-            self._leavings,
+            self._feed_exchange,
+            self._leaving_exchange,
             self._crash_exchange,
         )
-        for part in parts:
-            part.start()
+        for component in components:
+            component.start()
         if self.fleet.table_sync is not None:
             self.fleet.table_sync.start()
-        if self._crash_memory is not None:
-            self._crash_memory.start()
+        if self._crash_persister is not None:
+            self._crash_persister.start()
         self._tables.start()
         self._targets.start()
         self._ready.start()
@@ -292,25 +295,25 @@
         emit(logger, Event.ROUTER_STARTED, name=self._settings.name, listen=self._settings.listen)
 
     def adopt(self, settings: RoutedSettings) -> None:
-        """Take changed settings over; grace and retry slack at once, the rest at the next start."""
+        """Adopt changed settings: grace and retry slack at once, others at the next start."""
         changed = [
-            field
-            for field in attrs.asdict(settings, recurse=False)
-            if getattr(settings, field) != getattr(self._settings, field)
+            name
+            for name in attrs.asdict(settings, recurse=False)
+            if getattr(settings, name) != getattr(self._settings, name)
         ]
         if changed:
             self._settings = settings
             emit(logger, Event.SETTINGS_ADOPTED, changed=",".join(changed))
 
     def drain(self) -> None:
-        """Stop as planned: say so, let what runs end within the grace, then stop."""
-        deadline = self._clock.now() + self._settings.grace - GRACE_MARGIN
-        unlisted_at = self._clock.now() + UNLISTED_SECONDS
+        """Shut down gracefully: fail readiness, finish requests within the grace, then stop."""
+        deadline = self._clock.now() + self._settings.grace - GRACE_MARGIN_SECONDS
+        unlisted_at = self._clock.now() + UNLISTING_SECONDS
         self.stopping = True
         emit(logger, Event.ROUTER_STOPPING, in_flight=len(self._in_flight))
         self.members.leave()
         self._clock.sleep(max(0.0, unlisted_at - self._clock.now()))
-        # What began by now ends within the grace; what still comes is refused, to go elsewhere.
+        # Running requests may end within the grace; new ones are refused, to be sent elsewhere.
         self.closing = True
         self._listener.close_listener()
         self._listener.close_idle()
@@ -320,7 +323,7 @@
         self.stop()
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop at once, without waiting for requests in flight."""
         self._listener.stop()
         self._ready.stop()
         self._metrics.stop()
@@ -328,33 +331,33 @@
         self._targets.stop()
         if self.fleet.table_sync is not None:
             self.fleet.table_sync.stop()
-        if self._crash_memory is not None:
-            self._crash_memory.stop()
-        parts = (
+        if self._crash_persister is not None:
+            self._crash_persister.stop()
+        components = (
             self._crash_exchange,
-            self._exchange,
+            self._feed_exchange,
             self._admission,
             self.members,
             self.fleet.peers,
         )
-        for part in parts:
-            part.stop()
+        for component in components:
+            component.stop()
 
     def _retry_slack(self) -> float:
-        return 1.0 + SLACK_PART * self._settings.retries.slack / self._routers()
+        return 1.0 + SLACK_FRACTION * self._settings.retries.slack / self._live_routers()
 
     def _limits(self) -> CallerLimits:
         table = self.holder.table
         return CallerLimits() if table is None else table.limits
 
-    def _routers(self) -> int:
+    def _live_routers(self) -> int:
         return len(self.members.live())
 
-    def _forget(self) -> None:
+    def _retain_listed(self) -> None:
         known = {target.incarnation for target in self.registry.listed()}
         self._pool.retain(known)
-        self._check.retain(known)
-        self._guard.update_known(known)
+        self._probe.retain(known)
+        self._crash_guard.update_known(known)
         self._admission.retain(known)
 
 
--- a/packages/loomyard-router/src/loomyard_router/routed_settings.py
+++ b/packages/loomyard-router/src/loomyard_router/routed_settings.py
@@ -1,4 +1,4 @@
-"""What a router that serves routes is told at its start."""
+"""Settings of a router that serves routes."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 @frozen(kw_only=True)
 class RetryTerms:
-    """The budget of the whole fleet: retries up to ``ratio`` of the requests, and ``slack`` more.
+    """The retry budget of the whole fleet.
 
-    It holds within each ``window`` of seconds.
+    Within each ``window`` of seconds, retries may reach ``ratio`` of the requests plus ``slack``.
     """
 
     ratio: float = 0.2
@@ -19,15 +19,16 @@
 
 @frozen(kw_only=True)
 class RoutedSettings:
-    """Addresses are ``host:port``, times are seconds.
+    """Settings of one router; addresses are ``host:port``, times are seconds.
 
     ``grace`` is the time between the request to stop and the kill, ``share_window`` the time over
-    which shares of client accounts are compared. ``feed_pace`` is the least time between two reads
-    of a feed that both bring something, since each call has its price. ``most_connections`` bounds
-    the open connections of callers; beyond it those that rest are closed. While what is ready waits
-    for longer than ``most_lag``, what comes is refused: an objective is a few hundred milliseconds.
-    ``event_seconds`` is how long an event of a stream may take from its target to its caller, 0
-    where users do not say. ``body_bytes`` bounds the request bodies that are held at once.
+    which the usage of client accounts is compared. ``feed_pace`` is the minimum time between two
+    reads of a feed that both return records, since each call has a cost. ``most_connections`` is
+    the limit of open connections of callers, beyond which idle ones are closed. While the lag of
+    the event loop exceeds ``most_lag``, new requests are refused, because latency objectives are a
+    few hundred milliseconds. ``event_seconds`` is how long an event of a stream may take from its
+    target to its caller, 0 if users set no limit. ``body_bytes`` bounds the request bodies in
+    memory.
     """
 
     name: str
--- a/packages/loomyard-router/src/loomyard_router/settings.py
+++ b/packages/loomyard-router/src/loomyard_router/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the router, by flags and environment variables."""
+"""Settings of the router from flags and environment variables."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 ENVIRONMENT_PREFIX = "LOOMYARD_"
 FLEET_SECRET_VARIABLE = ENVIRONMENT_PREFIX + "FLEET_SECRET"
-# How secrets begin that stand in our examples, where everybody can read them.
+# Prefix of the secrets in the published examples, which everybody can read.
 EXAMPLE_SECRET = "replace-me"
 MAX_SECRETS = 2
 MIN_SHARE_BYTES = 200.0
-MAX_NAME = 63  # so that news of several routers fits into a datagram
-MIN_CLAIM_WINDOW = 300.0
-RETENTION_MARGIN = 300.0
+MAX_NAME_CHARS = 63  # so that updates of several routers fit into one gossip datagram
+MIN_CLAIM_WINDOW_SECONDS = 300.0
+RETENTION_MARGIN_SECONDS = 300.0
 POLICIES = ("fleet", "local", "fifo")
 LOG_FORMATS = ("text", "json")
-NO_INTEGER = -1
+INVALID_INTEGER = -1
 
 _ADDRESS = re.compile(r"\S+:\d+\Z")
 _DIGEST = re.compile(r"[0-9a-f]{64}\Z")
@@ -36,7 +36,7 @@
 
 @frozen(kw_only=True)
 class Settings:
-    """What a router is told at its start; addresses are ``host:port``."""
+    """Settings of one router; addresses are ``host:port``, times are seconds."""
 
     name: str
     data_centre: str = ""
@@ -72,11 +72,14 @@
 def parse_settings(
     arguments: Sequence[str], environment: Mapping[str, str]
 ) -> Result[Settings, list[FieldFault]]:
-    """Read flags over environment variables over defaults, and check them all."""
+    """Read and check settings; flags override environment variables, which override defaults.
+
+    The error lists all faults at once.
+    """
     parser = make_parser(environment)
     namespace = parser.parse_args(list(arguments))
     if not namespace.fleet_secret:
-        # Not as a default of the parser, which ``--help`` would print.
+        # As a default of the parser, the secret would be printed by ``--help``.
         namespace.fleet_secret = split_list(environment.get(FLEET_SECRET_VARIABLE, ""))
     settings = Settings(**vars(namespace))
     faults = _check(settings)
@@ -84,7 +87,7 @@
 
 
 def make_parser(environment: Mapping[str, str]) -> argparse.ArgumentParser:
-    """Make the parser of the settings."""
+    """Make the argument parser, with defaults from the environment."""
     parser = argparse.ArgumentParser(
         prog="loomyard-router",
         description="Route requests of client accounts to targets, in fair shares.",
@@ -107,33 +110,33 @@
     add("policy", "fleet", "share policy", metavar="|".join(POLICIES))
     add("position", 0, "position of this router for the local policy", type=_integer)
     add("routers", 1, "number of routers for the local policy", type=_integer)
-    add("drain-seconds", 60.0, "longest wait of a planned stop for what runs", type=_number)
-    add("resume-seconds", 5.0, "time a caller that went has to resume a stream", type=_number)
+    add("drain-seconds", 60.0, "seconds that a graceful shutdown waits for requests", type=_number)
+    add("resume-seconds", 5.0, "seconds in which a disconnected caller may resume", type=_number)
     add("metrics-listen", "", "address of /metrics, /healthz and /readyz; none: no metrics")
     add("certificate", "", "PEM certificate for TLS with callers")
     add("private-key", "", "PEM key of the certificate")
     add("log-format", "text", "text or json", metavar="|".join(LOG_FORMATS))
     add("operator-listen", "", "address for operators; none turns their interface off")
-    add("operator-keys", "", "SHA-256 digests of operator keys, by commas", type=split_list)
+    add("operator-keys", "", "SHA-256 digests of operator keys, comma-separated", type=split_list)
     add("operator-certificate", "", "file of the operator listener's TLS certificate chain")
     add("operator-private-key", "", "file of the operator listener's TLS private key")
     add("peer-listen", "", "TCP and UDP address for other routers; none: a fleet of one")
-    add("peers", "", "addresses of some other routers, with commas", type=split_list)
+    add("peers", "", "addresses of some other routers, comma-separated", type=split_list)
     parser.add_argument(
         "--fleet-secret",
         default=(),
         type=split_list,
-        help="secret of the fleet; two with a comma while it is changed, the first one signs;"
+        help="secret of the fleet; during rotation two, comma-separated, of which the first signs;"
         f" better set by [{FLEET_SECRET_VARIABLE}]",
     )
     add("peer-certificate", "", "PEM certificate for TLS between routers")
     add("peer-key", "", "PEM key of the certificate")
-    add("peer-authority", "", "PEM authority that signs the routers' certificates")
+    add("peer-authority", "", "PEM certificate of the authority of the routers' certificates")
     add("vm-list", "", "address of the VM list")
     add("weight-store", "", "address of the weight store; without it loads are 10 s apart")
     add("probe-period", 0.5, "seconds between probes of other routers", type=_number)
-    add("share-bytes", 1700.0, "bytes a second for reports and replies of shares", type=_number)
-    add("claim-window", 3600.0, "seconds for which an idempotency key is remembered", type=_number)
+    add("share-bytes", 1700.0, "bytes per second of share reports and replies", type=_number)
+    add("claim-window", 3600.0, "seconds for which idempotency keys are remembered", type=_number)
     add("log-retention", 86400.0, "seconds for which the log service keeps records", type=_number)
     return parser
 
@@ -149,7 +152,10 @@
 
 
 def _check_choices(settings: Settings) -> list[FieldFault]:
-    """Check what argparse would end the process for, or not check in the environment."""
+    """Check choices and ranges.
+
+    Argparse would exit at the first fault, and would not check values from the environment.
+    """
     faults = []
     if settings.policy not in POLICIES:
         faults.append(_fault("policy", f"not one of {', '.join(POLICIES)}"))
@@ -190,7 +196,7 @@
 
 
 def _number(text: str) -> float:
-    """Read a number; what is none is reported with the other faults."""
+    """Parse a number; an invalid one becomes NaN, which is reported with the other faults."""
     try:
         return float(text)
     except ValueError:
@@ -198,11 +204,11 @@
 
 
 def _integer(text: str) -> int:
-    """Read a whole number; what is none is reported with the other faults."""
+    """Parse an integer; an invalid one becomes ``INVALID_INTEGER`` and is reported later."""
     try:
         return int(text)
     except ValueError:
-        return NO_INTEGER
+        return INVALID_INTEGER
 
 
 def _check_operators(settings: Settings) -> list[FieldFault]:
@@ -236,8 +242,8 @@
     if len(settings.fleet_secret) > MAX_SECRETS:
         faults.append(_fault("fleet_secret", f"more than {MAX_SECRETS}"))
     for name in ("name", "data_centre"):
-        if len(getattr(settings, name)) > MAX_NAME:
-            faults.append(_fault(name, f"longer than {MAX_NAME} characters"))
+        if len(getattr(settings, name)) > MAX_NAME_CHARS:
+            faults.append(_fault(name, f"longer than {MAX_NAME_CHARS} characters"))
     if not settings.name:
         faults.append(_fault("name", "empty"))
     files = ("peer_certificate", "peer_key", "peer_authority")
@@ -253,16 +259,16 @@
 
 
 def split_list(text: str) -> tuple[str, ...]:
-    """Split a list of a setting at its commas."""
-    return tuple(part.strip() for part in text.split(",") if part.strip())
+    """Split a comma-separated setting; drop spaces and empty items."""
+    return tuple(item.strip() for item in text.split(",") if item.strip())
 
 
 def _check_window(settings: Settings) -> list[FieldFault]:
-    """Check that what a trimmed log forgot is past the window of all that it still holds."""
-    if settings.claim_window < MIN_CLAIM_WINDOW:
-        return [_fault("claim_window", f"shorter than {MIN_CLAIM_WINDOW:.0f} s")]
-    if 2 * settings.claim_window + RETENTION_MARGIN > settings.log_retention:
-        detail = f"twice the window and {RETENTION_MARGIN:.0f} s exceed log_retention"
+    """Check that the log retains claims until they are outside the window of all retained ones."""
+    if settings.claim_window < MIN_CLAIM_WINDOW_SECONDS:
+        return [_fault("claim_window", f"shorter than {MIN_CLAIM_WINDOW_SECONDS:.0f} s")]
+    if 2 * settings.claim_window + RETENTION_MARGIN_SECONDS > settings.log_retention:
+        detail = f"twice the window and {RETENTION_MARGIN_SECONDS:.0f} s exceed log_retention"
         return [_fault("claim_window", detail)]
     return []
 
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_peer_network.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_peer_network.py
@@ -9,7 +9,7 @@
 import gevent
 from attrs import frozen
 
-from loomyard_router import fleet_parts
+from loomyard_router import fleet_components
 from loomyard_standins.faults.pointed_platform import PointedPeers
 from loomyard_standins.memory_network import MemoryNetwork
 
@@ -93,7 +93,7 @@
         }
         with ExitStack() as stack:
             for attribute, fake in fakes.items():
-                stack.enter_context(patch.object(fleet_parts, attribute, fake))
+                stack.enter_context(patch.object(fleet_components, attribute, fake))
             yield
 
 
