--- a/packages/loomyard-router/src/loomyard_router/callers/app.py
+++ b/packages/loomyard-router/src/loomyard_router/callers/app.py
@@ -49,8 +49,8 @@
 LAST_EVENT_HEADER = "HTTP_LAST_EVENT_ID"
 HEALTH_PATH = "/healthz"
 READY_PATH = "/readyz"
-# After these refusals the connection is closed: the request was not read to its end, or the router
-# is stopping.
+# After these refusals the connection is closed: the request may not have been read to its end, or
+# the router is stopping.
 CODES_THAT_CLOSE = (ResultCode.MALFORMED_REQUEST, ResultCode.BODY_TOO_LARGE, ResultCode.STOPPING)
 DROPPED_HEADERS = frozenset(
     [
@@ -179,7 +179,7 @@
         raise AssertionError("a result is a value or a fault")
 
     def answer(self, answer: Answer) -> Iterable[bytes]:
-        """Forward an answer without hop-by-hop headers and with the request id."""
+        """Forward an answer without ``DROPPED_HEADERS`` and with the request id."""
         headers = [(n, v) for n, v in answer.headers if n.lower() not in DROPPED_HEADERS]
         request_id = answer.request_id or self.request_id
         headers += [("Loomyard-Request-Id", request_id), ("X-Request-Id", request_id)]
--- a/packages/loomyard-router/src/loomyard_router/callers/header_fields.py
+++ b/packages/loomyard-router/src/loomyard_router/callers/header_fields.py
@@ -9,7 +9,7 @@
 
 MAX_FIELDS = 100
 MAX_LINE_BYTES = 65536
-LAST_LINES = (b"\r\n", b"\n", b"")
+END_OF_HEADERS = (b"\r\n", b"\n", b"")
 # Characters of a token by the grammar of HTTP (RFC 9110).
 NAME_CHARACTERS = frozenset(
     "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
@@ -65,7 +65,7 @@
     fields: list[tuple[str, str]] = []
     while True:
         line = file.readline(MAX_LINE_BYTES + 1)
-        if line in LAST_LINES:
+        if line in END_OF_HEADERS:
             return HeaderFields(fields)
         if len(line) > MAX_LINE_BYTES:
             return HeaderFields([], "Line too long")
--- a/packages/loomyard-router/src/loomyard_router/own_time.py
+++ b/packages/loomyard-router/src/loomyard_router/own_time.py
@@ -24,10 +24,10 @@
 
 
 def take_turn(clock: Clock) -> float:
-    """Run all ready tasks, also those of readable sockets; return the lag in seconds."""
+    """Run all ready tasks, also those of readable sockets; return the lag of that in seconds."""
     started_at = clock.now()
     clock.sleep(PASS_SECONDS)
-    # A timer fires between two slices of the queue of ready tasks; a new task runs after all of it.
+    # A timer fires between two slices of the queue of ready tasks, but a new task runs at its end.
     gevent.spawn(_do_nothing).join()
     return max(0.0, clock.now() - started_at - PASS_SECONDS)
 
--- a/packages/loomyard-router/src/loomyard_router/platform/__main__.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/__main__.py
@@ -41,7 +41,7 @@
 from loomyard_router.routed_application import RoutedApplication, RoutedPlatform  # noqa: E402
 
 EXIT_SETTINGS = 2
-# Fits into the margin that a graceful shutdown leaves of the grace period (``GRACE_MARGIN``).
+# Fits into the margin that a graceful shutdown leaves of the grace (``GRACE_MARGIN_SECONDS``).
 FLUSH_SECONDS = 0.2
 
 
--- a/packages/loomyard-router/src/loomyard_router/platform/store_client.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/store_client.py
@@ -25,8 +25,8 @@
 HTTP_OK = 200
 CONNECT_SECONDS = 0.5
 MIN_CALL_SECONDS = 0.05
-# A longer number is a fault: the store would have been rolled back a million times, and routers
-# send each other an era as a number of bounded size.
+# A longer number is ignored as invalid: no store is rolled back a million times, and routers send
+# each other the era as a number of bounded size.
 MAX_ERA_DIGITS = 6
 
 
--- a/packages/loomyard-router/src/loomyard_router/routed_application.py
+++ b/packages/loomyard-router/src/loomyard_router/routed_application.py
@@ -77,10 +77,7 @@
 
 @frozen(kw_only=True)
 class RoutedPlatform:
-    """What an adapter provides: feeds and their decoders, codecs, readiness path, crash archive.
-
-    ``find_emptied_data_centre`` returns the data centre that the key of a record evacuates.
-    """
+    """What an adapter provides: feeds and their decoders, codecs, readiness path, crash archive."""
 
     clock: Clock
     tables: Feed
