--- a/packages/loomyard-router/src/loomyard_router/admission/assembly.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/assembly.py
@@ -33,7 +33,7 @@
     from loomyard_router.announced.target_registry import TargetRegistry
     from loomyard_router.members.membership import Membership
     from loomyard_router.peers.links import PeerLinks
-    from loomyard_router.routes.table_holder import TableHolder
+    from loomyard_router.routes.route_table_holder import RouteTableHolder
 
 
 @frozen(kw_only=True)
@@ -84,7 +84,7 @@
     *,
     clock: Clock,
     registry: TargetRegistry,
-    holder: TableHolder,
+    holder: RouteTableHolder,
     members: Membership,
     peers: PeerLinks,
     window: float,
--- a/packages/loomyard-router/src/loomyard_router/admission/gate_selector.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/gate_selector.py
@@ -10,7 +10,7 @@
 from loomyard_router.admission.slot_client import ISOLATION_THRESHOLD
 from loomyard_router.announced.cold_targets import ColdTargets
 from loomyard_router.announced.target_registry import TargetRegistry
-from loomyard_router.routes.table_holder import TableHolder
+from loomyard_router.routes.route_table_holder import RouteTableHolder
 
 if TYPE_CHECKING:
     from result import Result
@@ -30,7 +30,7 @@
     to run apart from other suspected ones.
     """
 
-    holder: TableHolder
+    holder: RouteTableHolder
     registry: TargetRegistry
     cold: ColdTargets
     engines: AdmissionGate
--- a/packages/loomyard-router/src/loomyard_router/admission/share_ledger.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/share_ledger.py
@@ -13,7 +13,7 @@
 from loomyard_router.admission.account_usage import AccountUsage
 from loomyard_router.admission.fair_share import find_max_min_share
 from loomyard_router.admission.gap_bound import GapBound, NoGapBound
-from loomyard_router.admission.share_messages import NO_SHARE, ShareReply, UsageReport
+from loomyard_router.admission.share_messages import NO_SHARE, UsageReply, UsageReport
 from loomyard_router.admission.share_tree import find_parent
 
 if TYPE_CHECKING:
@@ -78,7 +78,7 @@
         # Usage since the last report, which the last reply does not include.
         self._unreported = AccountUsage(clock, window)
         self._reports: dict[str, _ReceivedReport] = {}
-        self._reply = ShareReply()
+        self._reply = UsageReply()
         self._reply_at = -math.inf
         self._parent: str | None = None
         self._task: gevent.Greenlet | None = None
@@ -144,11 +144,11 @@
             return False
         return self.usage(account) > self._reply.usage_cap
 
-    def handle_report(self, member: Member, report: UsageReport) -> ShareReply:
+    def handle_report(self, member: Member, report: UsageReport) -> UsageReply:
         """Store the sums of another router and reply with what is known here."""
         self._reports[member.name] = _ReceivedReport(report, self._clock.now())
         if self._is_stale:
-            return ShareReply()
+            return UsageReply()
         decay = self._decay(self._reply_at)
         share = math.inf if self._reply.share == NO_SHARE else self._reply.share
         known = {name: round(cost * decay) for name, cost in self._reply.usage.items()}
@@ -156,7 +156,7 @@
         usage = {
             name: cost for name, cost in known.items() if name in report.demand or cost > share
         }
-        return ShareReply(
+        return UsageReply(
             share=self._reply.share,
             served_share=self._reply.served_share,
             usage_cap=self._reply.usage_cap,
@@ -212,22 +212,22 @@
             aggregated=aggregated,
         )
 
-    def _compute_shares(self, report: UsageReport) -> ShareReply:
+    def _compute_shares(self, report: UsageReport) -> UsageReply:
         capacity = self._rate() * self._window
         if not capacity:
-            return ShareReply(usage=report.usage)
+            return UsageReply(usage=report.usage)
         served = max(capacity, sum(report.usage.values()))
         served_share = find_max_min_share(report.demand, served)
-        return ShareReply(
+        return UsageReply(
             share=round(find_max_min_share(report.demand, capacity)),
             served_share=round(served_share),
             usage_cap=self._bound.find_cap(report.demand, report.usage, served_share),
             usage=report.usage,
         )
 
-    def _send_report(self, parent: str, report: UsageReport) -> ShareReply | None:
+    def _send_report(self, parent: str, report: UsageReport) -> UsageReply | None:
         match self._peers.request(parent, report, self._clock.now() + REPLY_SECONDS):
-            case Ok(ShareReply() as reply):
+            case Ok(UsageReply() as reply):
                 return reply
         return None
 
--- a/packages/loomyard-router/src/loomyard_router/admission/share_messages.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/share_messages.py
@@ -26,7 +26,7 @@
 
 @peer_message("uw")
 @frozen(kw_only=True)
-class ShareReply:
+class UsageReply:
     """Max-min share of each account in the fleet, and the usage there of the accounts reported.
 
     All in tokens of the share window, with ``NO_SHARE`` for what is not known. ``share`` is the
--- a/packages/loomyard-router/src/loomyard_router/admission/slot_permit.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/slot_permit.py
@@ -30,9 +30,9 @@
         expected_ttft: float = 0.0,
     ) -> None:
         self.target = target
-        self.taken = slots_in_use
-        self.choice = target_rank
-        self.expected = expected_ttft
+        self.slots_in_use = slots_in_use
+        self.target_rank = target_rank
+        self.expected_ttft = expected_ttft
         self._on_release: Callable[[], None] | None = on_release
         self._on_answer = on_answer
         self._on_unused = on_unused
--- a/packages/loomyard-router/src/loomyard_router/announced/cold_targets.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/cold_targets.py
@@ -8,7 +8,7 @@
     from loomyard.clock import Clock
     from loomyard_router.announced.announced_target import AnnouncedTarget
     from loomyard_router.announced.target_registry import TargetRegistry
-    from loomyard_router.routes.table_holder import TableHolder
+    from loomyard_router.routes.route_table_holder import RouteTableHolder
 
 # The fraction of a cold target's rate limit that one slot owner grants. For a moment two routers
 # may own the slots of one target; together they then exceed the limit by half at most, which a
@@ -25,7 +25,7 @@
     for the warm-up time of their service.
     """
 
-    def __init__(self, clock: Clock, registry: TargetRegistry, holder: TableHolder) -> None:
+    def __init__(self, clock: Clock, registry: TargetRegistry, holder: RouteTableHolder) -> None:
         self._clock = clock
         self._registry = registry
         self._holder = holder
--- a/packages/loomyard-router/src/loomyard_router/announced/target_feed.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_feed.py
@@ -52,10 +52,10 @@
         self._registry.apply(targets, dropped, by_peer=source == PEER)
 
     def on_store_lost(self) -> None:
-        self._registry.note_store_lost()
+        self._registry.on_store_lost()
 
     def on_store_recovered(self) -> None:
-        self._registry.note_store_back()
+        self._registry.on_store_recovered()
 
     def _decode_all(self, records: list[KeyedRecord]) -> tuple[list[AnnouncedTarget], list[str]]:
         """Return the decoded targets and the keys of unreadable entries."""
--- a/packages/loomyard-router/src/loomyard_router/announced/target_registry.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_registry.py
@@ -22,7 +22,7 @@
 logger = logging.getLogger(__name__)
 
 # Targets whose entries expired during a store outage write them again within two seconds after it.
-RETURN_SECONDS = 2.0
+GRACE_SECONDS = 2.0
 # When at least this fraction and number of a service's entries vanish within the window (s), the
 # store is presumed to have lost them: the targets would not leave all at once.
 MASS_LOSS_FRACTION = 0.5
@@ -65,7 +65,7 @@
         self.notices = TargetNotices(clock)
         self._was_listed = False
         self._store_down = False
-        self._store_back_at = clock.now() - RETURN_SECONDS
+        self._store_back_at = clock.now() - GRACE_SECONDS
         self._next_check = 0.0
 
     @property
@@ -166,18 +166,18 @@
         self._evacuated = data_centres
         self._changed()
 
-    def note_store_lost(self) -> None:
+    def on_store_lost(self) -> None:
         """Record that the store does not answer this router."""
         self._store_down = True
 
-    def note_store_back(self) -> None:
+    def on_store_recovered(self) -> None:
         """Record that the store answers again; targets in grace have ``RETURN_SECONDS`` left."""
         self._store_down = False
         now = self._clock.now()
         self._store_back_at = now
         for lapsed in self._lapsed.values():
             if lapsed.usable_until > now:
-                lapsed.usable_until = now + RETURN_SECONDS
+                lapsed.usable_until = now + GRACE_SECONDS
         self._changed()
 
     def _put(self, target: AnnouncedTarget) -> None:
@@ -244,10 +244,10 @@
         )
         if self._store_down and not by_peer:
             until = math.inf  # shortened when the store answers again
-        elif now - self._store_back_at < RETURN_SECONDS:
-            until = self._store_back_at + RETURN_SECONDS
+        elif now - self._store_back_at < GRACE_SECONDS:
+            until = self._store_back_at + GRACE_SECONDS
         elif together:
-            until = now + RETURN_SECONDS
+            until = now + GRACE_SECONDS
         else:
             return
         for lapsed in recent:
@@ -262,7 +262,7 @@
         now = self._clock.now()
         for id_, lapsed in list(self._lapsed.items()):
             expired = lapsed.usable_until <= now and not self._store_down
-            if expired and now - lapsed.vanished_at > RETURN_SECONDS:
+            if expired and now - lapsed.vanished_at > GRACE_SECONDS:
                 del self._lapsed[id_]
                 self._cold_until.pop(id_, None)
         usable: dict[str, list[AnnouncedTarget]] = {}
--- a/packages/loomyard-router/src/loomyard_router/own_time.py
+++ b/packages/loomyard-router/src/loomyard_router/answer_wait.py
@@ -23,7 +23,7 @@
 MAX_EXTENSION_SECONDS = 0.25
 
 
-def take_turn(clock: Clock) -> float:
+def run_loop_pass(clock: Clock) -> float:
     """Run all ready tasks, also those of readable sockets; return the lag of that in seconds."""
     started_at = clock.now()
     clock.sleep(PASS_SECONDS)
@@ -42,7 +42,7 @@
 
     clock: Clock
     deadline: float
-    loop_pass: Callable[[Clock], float] = take_turn
+    loop_pass: Callable[[Clock], float] = run_loop_pass
     answer: AsyncResult = field(factory=AsyncResult)
     _created_at: float = field(init=False)
     _sent_at: float | None = None
@@ -55,11 +55,11 @@
         """Return when the wait ends regardless of the lag of this process."""
         return self.deadline + MAX_EXTENSION_SECONDS
 
-    def note_sent(self) -> None:
+    def record_sent(self) -> None:
         """Record that the request left this process."""
         self._sent_at = self.clock.now()
 
-    def settle(self, value: Any) -> None:
+    def set_answer(self, value: Any) -> None:
         """Set the answer and end the wait."""
         self.answer.set(value)
 
--- a/packages/loomyard-router/src/loomyard_router/application.py
+++ b/packages/loomyard-router/src/loomyard_router/application.py
@@ -9,25 +9,25 @@
 
 from loomyard.clock import SystemClock
 from loomyard.events import Event, emit
-from loomyard.outside.http_log import connect_log
-from loomyard.outside.http_vm_list import connect_vm_list
-from loomyard.outside.http_weight_store import connect_weight_store
+from loomyard.external.http_log import connect_log
+from loomyard.external.http_vm_list import connect_vm_list
+from loomyard.external.http_weight_store import connect_weight_store
 from loomyard.util.addresses import split_address
 from loomyard_router.callers.app import CallersApp
 from loomyard_router.callers.handler import CallerServer
 from loomyard_router.callers.in_flight import InFlight
 from loomyard_router.claims.log_claims import make_log_claims
+from loomyard_router.components import Platform, RouterComponents
 from loomyard_router.configuration.distribution import make_distribution
 from loomyard_router.configuration.follower import ConfigFollower
 from loomyard_router.fleet_components import make_fleet_components
-from loomyard_router.metrics.exposition import MetersCollector
-from loomyard_router.metrics.meters import Meters
+from loomyard_router.metrics.exposition import RouterCollector
+from loomyard_router.metrics.request_metrics import RequestMetrics
 from loomyard_router.metrics.server import MetricsServer
 from loomyard_router.operators.interface import make_operators_interface
 from loomyard_router.orders.combined_backlog import CombinedBacklog
 from loomyard_router.orders.order_controller import make_order_controller
 from loomyard_router.orders.refusal_notifier import RefusalNotifier
-from loomyard_router.parts import Parts, Platform
 from loomyard_router.requests.estimates import CostEstimates
 from loomyard_router.requests.journal import Journal
 from loomyard_router.requests.pending_resumes import PendingResumes
@@ -61,13 +61,13 @@
         self,
         settings: Settings,
         platform: Platform,
-        components: Parts,
+        components: RouterComponents,
         callers: CallersApp,
         *,
         pipeline: RequestPipeline,
-        meters: Meters,
+        meters: RequestMetrics,
     ) -> None:
-        self.parts = components
+        self.components = components
         self.callers = callers
         self._settings = settings
         self._clock = platform.clock
@@ -82,7 +82,7 @@
             in_flight=self._in_flight,
             **_tls_options(settings),
         )
-        collector = MetersCollector(meters, components.traffic, lambda: len(self._in_flight))
+        collector = RouterCollector(meters, components.traffic, lambda: len(self._in_flight))
         self.metrics = MetricsServer(settings.metrics_listen, lambda: callers.ready, collector)
         self.operators = make_operators_interface(
             settings,
@@ -108,7 +108,7 @@
 
     def start(self) -> None:
         """Start following the configuration and serving callers."""
-        components = self.parts
+        components = self.components
         components.follower.subscribe(components.targets.reconfigure)
         components.follower.subscribe(components.policy.reconfigure)
         for component in (
@@ -145,7 +145,7 @@
         emit(logger, Event.ROUTER_STOPPING, in_flight=len(self._in_flight))
         deadline = self._clock.now() + self._settings.drain_seconds
         self._pipeline.stop()
-        self.parts.members.leave()
+        self.components.members.leave()
         self._in_flight.wait_idle(deadline)
         emit(logger, Event.ROUTER_STOPPED, in_flight=len(self._in_flight))
         self.stop()
@@ -156,7 +156,7 @@
         self.operators.stop()
         self.metrics.stop()
         self._server.stop()
-        components = self.parts
+        components = self.components
         components.distribution.stop()
         if components.orders is not None:
             components.orders.stop()
@@ -199,7 +199,7 @@
     targets = make_known_targets(clock, platform.engine, fleet.members, fleet.peers)
     if fleet.vm_list_poller is not None:
         fleet.vm_list_poller.subscribe(targets.apply_vm_list)
-    components = Parts(
+    components = RouterComponents(
         members=fleet.members,
         peers=fleet.peers,
         traffic=fleet.traffic,
@@ -229,7 +229,7 @@
             clock, components.peers, settings.name, seconds=settings.resume_seconds
         ),
     )
-    meters = Meters(clock)
+    meters = RequestMetrics(clock)
     pipeline = RequestPipeline(
         clock=clock,
         follower=components.follower,
--- a/packages/loomyard-router/src/loomyard_router/callers/app.py
+++ b/packages/loomyard-router/src/loomyard_router/callers/app.py
@@ -33,7 +33,7 @@
     from loomyard.objects import ClientAccount
     from loomyard_router.callers.fields import Environ
     from loomyard_router.configuration.follower import ConfigFollower
-    from loomyard_router.metrics.meters import Meters
+    from loomyard_router.metrics.request_metrics import RequestMetrics
     from loomyard_router.requests.request import Request
     from loomyard_router.requests.request_pipeline import RequestPipeline
     from loomyard_router.requests.stream_resumer import StreamResumer
@@ -85,7 +85,7 @@
         follower: ConfigFollower,
         pipeline: RequestPipeline,
         stream_resumer: StreamResumer,
-        meters: Meters,
+        meters: RequestMetrics,
     ) -> None:
         self._meters = meters
         self._stream_resumer = stream_resumer
@@ -161,7 +161,9 @@
 class _Exchange:
     """One request of a caller and the answer to it."""
 
-    def __init__(self, environ: Environ, start_response: StartResponse, meters: Meters) -> None:
+    def __init__(
+        self, environ: Environ, start_response: StartResponse, meters: RequestMetrics
+    ) -> None:
         self._meters = meters
         self.request_id = f"req-{secrets.token_hex(8)}"
         self.idempotent = False
--- a/packages/loomyard-router/src/loomyard_router/callers/request_reader.py
+++ b/packages/loomyard-router/src/loomyard_router/callers/request_reader.py
@@ -11,7 +11,7 @@
 
 from loomyard.errors import Fault, ResultCode
 from loomyard.objects import ServiceType
-from loomyard.prefixes import prefix_of
+from loomyard.prompt_prefixes import prompt_prefix_digest
 from loomyard_router.callers.fields import (
     DEADLINE_HEADER,
     malformed,
@@ -183,7 +183,7 @@
 
 
 def _fill_model_fields(request: Request, document: dict[str, Any]) -> None:
-    request.prefix = prefix_of(document)
+    request.prefix = prompt_prefix_digest(document)
     request.stream = bool(document.get("stream"))
     if not request.stream:
         return
--- a/packages/loomyard-router/src/loomyard_router/claims/keeper.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/claim_coordinator.py
@@ -43,7 +43,7 @@
     body: bytes | None
 
 
-class ClaimKeeper(Protocol):
+class ClaimCoordinator(Protocol):
     """Ensures that the request of a key is sent at most once in the fleet.
 
     Callers call ``claim``, then ``begin`` just before they send the request, then ``finish``; or
--- a/packages/loomyard-router/src/loomyard_router/claims/claim_settler.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/claim_settler.py
@@ -8,7 +8,7 @@
 import gevent
 
 from loomyard.events import Event, emit
-from loomyard.outside.settled_append import backoff_seconds
+from loomyard.external.confirmed_append import backoff_seconds
 from loomyard_router.claims.keys import PARTITIONS, partition_of
 from loomyard_router.claims.messages import SettleClaims, Settled
 from loomyard_router.claims.records import Abandoned, Finished
--- a/packages/loomyard-router/src/loomyard_router/claims/hosting.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/hosting.py
@@ -26,7 +26,7 @@
     from collections.abc import Iterator
 
     from loomyard.clock import Clock
-    from loomyard.outside.log_service import LogService
+    from loomyard.external.log_service import LogService
     from loomyard_router.claims.key_state import KeyState
     from loomyard_router.members.membership import Member, Membership
     from loomyard_router.peers.links import PeerLinks
--- a/packages/loomyard-router/src/loomyard_router/claims/key_state.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/key_state.py
@@ -6,7 +6,7 @@
 
 from attrs import define
 
-from loomyard_router.claims.keeper import RecordedOutcome
+from loomyard_router.claims.claim_coordinator import RecordedOutcome
 
 
 class Phase(Enum):
--- a/packages/loomyard-router/src/loomyard_router/claims/keys.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/keys.py
@@ -6,7 +6,7 @@
 from hashlib import blake2b
 from typing import TYPE_CHECKING
 
-from loomyard_router.claims.keeper import ClaimKey
+from loomyard_router.claims.claim_coordinator import ClaimKey
 
 if TYPE_CHECKING:
     from loomyard_router.requests.request import Request
--- a/packages/loomyard-router/src/loomyard_router/claims/log_claims.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/log_claims.py
@@ -8,9 +8,9 @@
 from result import Err, Ok, Result
 
 from loomyard.errors import Executed, Fault, ResultCode
+from loomyard_router.claims.claim_coordinator import Claim, RecordedOutcome
 from loomyard_router.claims.claim_settler import ClaimSettler
 from loomyard_router.claims.hosting import ClaimHosting
-from loomyard_router.claims.keeper import Claim, RecordedOutcome
 from loomyard_router.claims.key_state import Phase
 from loomyard_router.claims.keys import digest_key
 from loomyard_router.claims.messages import BeginAnswer, BeginClaim, KeyView, LookUp
@@ -20,8 +20,8 @@
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
-    from loomyard.outside.log_service import LogService
-    from loomyard_router.claims.keeper import ClaimKey
+    from loomyard.external.log_service import LogService
+    from loomyard_router.claims.claim_coordinator import ClaimKey
     from loomyard_router.members.membership import Membership
     from loomyard_router.peers.links import PeerLinks
 
--- a/packages/loomyard-router/src/loomyard_router/claims/partition.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/partition.py
@@ -14,8 +14,8 @@
 from loomyard.errors import ResultCode
 from loomyard.events import Event as LogEvent
 from loomyard.events import emit
-from loomyard.outside.log_service import READ_WAIT
-from loomyard.outside.settled_append import backoff_seconds
+from loomyard.external.confirmed_append import backoff_seconds
+from loomyard.external.log_service import MAX_READ_WAIT_SECONDS
 from loomyard.util.waiting import wait_any, wait_result
 from loomyard_router.claims.keys import stream_of
 from loomyard_router.claims.partition_state import PartitionState
@@ -27,7 +27,7 @@
     from collections.abc import Callable
 
     from loomyard.clock import Clock
-    from loomyard.outside.log_service import LogBatch, LogService
+    from loomyard.external.log_service import LogBatch, LogService
     from loomyard_router.claims.key_state import KeyState
 
 logger = logging.getLogger(__name__)
@@ -160,7 +160,7 @@
     def _follow(self) -> None:
         failures = 0
         while True:
-            if self._read(READ_WAIT if self._is_fresh else 0.0):
+            if self._read(MAX_READ_WAIT_SECONDS if self._is_fresh else 0.0):
                 failures = 0
                 continue
             self._clock.sleep(backoff_seconds(failures))
--- a/packages/loomyard-router/src/loomyard_router/claims/records.py
+++ b/packages/loomyard-router/src/loomyard_router/claims/records.py
@@ -4,7 +4,7 @@
 
 from attrs import field, frozen
 
-from loomyard_router.claims.keeper import RecordedOutcome
+from loomyard_router.claims.claim_coordinator import RecordedOutcome
 
 
 @frozen(kw_only=True)
--- a/packages/loomyard-router/src/loomyard_router/parts.py
+++ b/packages/loomyard-router/src/loomyard_router/components.py
@@ -5,11 +5,11 @@
 from attrs import define, field
 
 from loomyard.clock import Clock
-from loomyard.outside.engine import Engine
-from loomyard.outside.log_service import LogService
-from loomyard.outside.vm_list import VmList
-from loomyard.outside.weight_store import WeightStore
-from loomyard_router.claims.keeper import ClaimKeeper
+from loomyard.external.engine import Engine
+from loomyard.external.log_service import LogService
+from loomyard.external.vm_list import VmList
+from loomyard.external.weight_store import WeightStore
+from loomyard_router.claims.claim_coordinator import ClaimCoordinator
 from loomyard_router.configuration.distribution import ConfigDistribution
 from loomyard_router.configuration.follower import ConfigFollower
 from loomyard_router.members.membership import Membership
@@ -35,7 +35,7 @@
 
 
 @define(kw_only=True, eq=False)
-class Parts:
+class RouterComponents:
     """The components that work together in one router."""
 
     members: Membership
@@ -44,7 +44,7 @@
     distribution: ConfigDistribution
     targets: TargetDirectory
     policy: SharePolicy
-    claims: ClaimKeeper
+    claims: ClaimCoordinator
     journal: Journal
     traffic: TrafficCounters = field(factory=TrafficCounters)
     vm_list_poller: VmListPoller | None = None
--- a/packages/loomyard-router/src/loomyard_router/configuration/distribution.py
+++ b/packages/loomyard-router/src/loomyard_router/configuration/distribution.py
@@ -11,9 +11,9 @@
 from loomyard_router.configuration.snapshot_writer import SnapshotWriter
 
 if TYPE_CHECKING:
+    from loomyard_router.components import Platform
     from loomyard_router.configuration.follower import ConfigFollower
     from loomyard_router.members.membership import Membership
-    from loomyard_router.parts import Platform
     from loomyard_router.peers.links import PeerLinks
 
 
--- a/packages/loomyard-router/src/loomyard_router/configuration/follower.py
+++ b/packages/loomyard-router/src/loomyard_router/configuration/follower.py
@@ -11,7 +11,7 @@
 from loomyard.configuration import CONFIG_STREAM, EMPTY_VERSION, Verdict
 from loomyard.errors import Fault, ResultCode
 from loomyard.events import Event, emit
-from loomyard.outside.log_service import READ_WAIT
+from loomyard.external.log_service import MAX_READ_WAIT_SECONDS
 from loomyard.util.collector import exempt_from_collection
 from loomyard_router.configuration.replica import ConfigReplica
 from loomyard_router.configuration.task_loop import run_repeatedly
@@ -21,7 +21,7 @@
 
     from loomyard.clock import Clock
     from loomyard.configuration import ConfigState
-    from loomyard.outside.log_service import LogBatch, LogService
+    from loomyard.external.log_service import LogBatch, LogService
     from loomyard.routing import Routing
     from loomyard_router.configuration.settled_change import SettledChange
     from loomyard_router.configuration.state_source import StateSource
@@ -145,7 +145,7 @@
         return self._reachable
 
     def _step(self) -> float:
-        reachable = self.poll(READ_WAIT)
+        reachable = self.poll(MAX_READ_WAIT_SECONDS)
         if reachable != self._reported_reachable:
             self._reported_reachable = reachable
             emit(logger, Event.LOG_RECOVERED if reachable else Event.LOG_UNAVAILABLE)
--- a/packages/loomyard-router/src/loomyard_router/configuration/log_snapshots.py
+++ b/packages/loomyard-router/src/loomyard_router/configuration/log_snapshots.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from loomyard.configuration import ConfigState
     from loomyard.errors import Fault
-    from loomyard.outside.log_service import LogService
+    from loomyard.external.log_service import LogService
 
 logger = logging.getLogger(__name__)
 
@@ -49,7 +49,7 @@
         assembly = SnapshotAssembly()
         if not self._read_parts(assembly):
             return None
-        for parts in assembly.complete(least=min_offset):
+        for parts in assembly.complete(min_offset=min_offset):
             match unpack(parts):
                 case Ok(state):
                     return state
--- a/packages/loomyard-router/src/loomyard_router/configuration/messages.py
+++ b/packages/loomyard-router/src/loomyard_router/configuration/messages.py
@@ -5,7 +5,7 @@
 from attrs import field, frozen
 
 from loomyard.configuration import EMPTY_VERSION, SnapshotPart
-from loomyard.outside.log_service import LogBatch
+from loomyard.external.log_service import LogBatch
 from loomyard_router.peers.message_types import peer_message
 
 CURRENT_SNAPSHOT = b""
--- a/packages/loomyard-router/src/loomyard_router/configuration/peer_configuration.py
+++ b/packages/loomyard-router/src/loomyard_router/configuration/peer_configuration.py
@@ -17,7 +17,7 @@
     unpack,
 )
 from loomyard.events import Event, emit
-from loomyard.outside.log_service import READ_ANSWER_SECONDS, READ_WAIT
+from loomyard.external.log_service import MAX_READ_WAIT_SECONDS, READ_ANSWER_MARGIN_SECONDS
 from loomyard_router.configuration.messages import (
     CURRENT_SNAPSHOT,
     PartAnswer,
@@ -40,7 +40,7 @@
 REQUEST_SECONDS = 1.0
 POLL_SECONDS = 0.5
 # Peers are polled when the log service has not answered for longer than a read may take.
-LOG_TIMEOUT_SECONDS = READ_WAIT + READ_ANSWER_SECONDS
+LOG_TIMEOUT_SECONDS = MAX_READ_WAIT_SECONDS + READ_ANSWER_MARGIN_SECONDS
 PEERS_PER_POLL = 3
 VERSION_TOPIC = "configuration"
 VERSION_KEY = "version"
@@ -151,7 +151,7 @@
         return self._unpack(name, assembly)
 
     def _unpack(self, name: str, assembly: SnapshotAssembly) -> ConfigState | None:
-        for parts in assembly.complete(least=EMPTY_VERSION):
+        for parts in assembly.complete(min_offset=EMPTY_VERSION):
             match unpack(parts):
                 case Ok(state):
                     return state
--- a/packages/loomyard-router/src/loomyard_router/configuration/record_tail.py
+++ b/packages/loomyard-router/src/loomyard_router/configuration/record_tail.py
@@ -5,7 +5,7 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from loomyard.outside.log_service import LogBatch, LogRecord
+from loomyard.external.log_service import LogBatch, LogRecord
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
--- a/packages/loomyard-router/src/loomyard_router/configuration/replica.py
+++ b/packages/loomyard-router/src/loomyard_router/configuration/replica.py
@@ -29,8 +29,8 @@
     from collections.abc import Callable, Iterable
 
     from loomyard.configuration import FoldedRecord
+    from loomyard.external.log_service import LogRecord
     from loomyard.objects import ObjectRef
-    from loomyard.outside.log_service import LogRecord
 
 logger = logging.getLogger(__name__)
 
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_exchange.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_exchange.py
@@ -55,13 +55,13 @@
         ledger: CrashLedger,
         members: Membership,
         peers: PeerLinks,
-        source: random.Random,
+        rng: random.Random,
     ) -> None:
         self._clock = clock
         self._ledger = ledger
         self._members = members
         self._peers = peers
-        self._rng = source
+        self._rng = rng
         self._updates: dict[str, CrashRecord] = {}
         self._applying_push = False
         self._send_scheduled = False
--- a/packages/loomyard-router/src/loomyard_router/crashes/liveness_probe.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/liveness_probe.py
@@ -14,7 +14,7 @@
     from loomyard_router.routed.connection_pool import ConnectionPool
     from loomyard_router.routed.http_codecs import TargetCodec
     from loomyard_router.routed.target_connection import TargetConnection
-    from loomyard_router.routes.table_holder import TableHolder
+    from loomyard_router.routes.route_table_holder import RouteTableHolder
 
 logger = logging.getLogger(__name__)
 
@@ -43,7 +43,7 @@
         registry: TargetRegistry,
         pool: ConnectionPool,
         codec: TargetCodec,
-        holder: TableHolder,
+        holder: RouteTableHolder,
     ) -> None:
         self._clock = clock
         self._registry = registry
--- a/packages/loomyard-router/src/loomyard_router/feeds/feed_exchange.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/feed_exchange.py
@@ -54,16 +54,14 @@
         members: Membership,
         peers: PeerLinks,
         followers: Iterable[FeedFollower],
-        source: random.Random,
+        rng: random.Random,
     ) -> None:
         self._clock = clock
         self._members = members
         self._peers = peers
         self._followers = {follower.name: follower for follower in followers}
         self._fetchers = {
-            name: PeerFetcher(
-                clock=clock, members=members, peers=peers, follower=follower, rng=source
-            )
+            name: PeerFetcher(clock=clock, members=members, peers=peers, follower=follower, rng=rng)
             for name, follower in self._followers.items()
         }
         self._changed = GeventEvent()
@@ -157,7 +155,7 @@
             feed=follower.name,
             since=follower.position,
             wait=int(READER_POLL_SECONDS * MILLISECONDS),
-            store_available=follower.answering,
+            store_available=follower.store_available,
             era=follower.era.newest,
         )
         reader = rank(own, readers)[0]
@@ -186,4 +184,4 @@
 
 
 def _reaches_store(follower: FeedFollower) -> bool:
-    return follower.answering and not follower.read_overdue
+    return follower.store_available and not follower.read_overdue
--- a/packages/loomyard-router/src/loomyard_router/feeds/feed_follower.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/feed_follower.py
@@ -117,7 +117,7 @@
         return self._position is not None
 
     @property
-    def answering(self) -> bool:
+    def store_available(self) -> bool:
         return self._failures == 0
 
     @property
@@ -295,7 +295,7 @@
 
     def _expire_retained(self) -> None:
         """Apply the store's records of keys whose overrides expired."""
-        if self.answering and (changes := self._records.expire()):
+        if self.store_available and (changes := self._records.expire()):
             self._consumer.apply_records(changes)
 
     def _log_rollback(self, rollback: Rollback, source: str) -> None:
--- a/packages/loomyard-router/src/loomyard_router/feeds/peer_fetcher.py
+++ b/packages/loomyard-router/src/loomyard_router/feeds/peer_fetcher.py
@@ -135,7 +135,7 @@
     def _run_without_store(self) -> None:
         follower = self._follower
         while True:
-            if follower.has_position and follower.answering:
+            if follower.has_position and follower.store_available:
                 self._store_changed.clear()
                 self._store_changed.wait()
             elif not self._poll_source():
--- a/packages/loomyard-router/src/loomyard_router/fleet_components.py
+++ b/packages/loomyard-router/src/loomyard_router/fleet_components.py
@@ -22,7 +22,7 @@
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
-    from loomyard.outside.vm_list import VmList
+    from loomyard.external.vm_list import VmList
     from loomyard_router.settings import Settings
 
 MILLISECONDS = 1000
--- a/packages/loomyard-router/src/loomyard_router/members/seeds.py
+++ b/packages/loomyard-router/src/loomyard_router/members/seeds.py
@@ -4,7 +4,7 @@
 
 from attrs import define
 
-from loomyard.outside.vm_list import Vm, VmState
+from loomyard.external.vm_list import Vm, VmState
 
 
 @define(eq=False)
--- a/packages/loomyard-router/src/loomyard_router/members/swim.py
+++ b/packages/loomyard-router/src/loomyard_router/members/swim.py
@@ -33,7 +33,7 @@
     from collections.abc import Callable
 
     from loomyard.clock import Clock
-    from loomyard.outside.vm_list import Vm
+    from loomyard.external.vm_list import Vm
     from loomyard_router.members.datagram_seal import DatagramSeal
     from loomyard_router.members.datagrams import Datagrams
     from loomyard_router.members.table import MemberRecord
--- a/packages/loomyard-router/src/loomyard_router/members/vm_list_poller.py
+++ b/packages/loomyard-router/src/loomyard_router/members/vm_list_poller.py
@@ -14,7 +14,7 @@
     from collections.abc import Callable
 
     from loomyard.clock import Clock
-    from loomyard.outside.vm_list import Vm, VmList
+    from loomyard.external.vm_list import Vm, VmList
 
 logger = logging.getLogger(__name__)
 
--- a/packages/loomyard-router/src/loomyard_router/metrics/exposition.py
+++ b/packages/loomyard-router/src/loomyard_router/metrics/exposition.py
@@ -22,7 +22,7 @@
     from prometheus_client.metrics_core import Metric
 
     from loomyard_router.feeds.feed_state import FeedState
-    from loomyard_router.metrics.meters import Meters
+    from loomyard_router.metrics.request_metrics import RequestMetrics
     from loomyard_router.peers.traffic import TrafficCounters
 
 QUANTILES = (0.5, 0.95, 0.99)
@@ -30,26 +30,26 @@
 ANSWERED_CODE = "0"
 
 
-class MetersCollector(Collector):
+class RouterCollector(Collector):
     """Collects all metrics of a router as metric families when they are scraped."""
 
     def __init__(
         self,
-        meters: Meters,
+        requests: RequestMetrics,
         traffic: TrafficCounters,
         in_flight: Callable[[], int],
         feeds: Callable[[], Iterable[FeedState]] = tuple,
-        announced: TargetMetrics | None = None,
-        places: SlotMetrics | None = None,
+        targets: TargetMetrics | None = None,
+        slots: SlotMetrics | None = None,
         bodies: BodyMetrics | None = None,
         unread: UnreadAnswerMetrics | None = None,
     ) -> None:
-        self._meters = meters
+        self._meters = requests
         self._traffic = traffic
         self._in_flight = in_flight
         self._feeds = feeds
-        self._targets = announced or TargetMetrics()
-        self._slots = places or SlotMetrics()
+        self._targets = targets or TargetMetrics()
+        self._slots = slots or SlotMetrics()
         self._bodies = bodies or BodyMetrics()
         self._unread = unread or UnreadAnswerMetrics()
 
--- a/packages/loomyard-router/src/loomyard_router/metrics/lazy_server.py
+++ b/packages/loomyard-router/src/loomyard_router/metrics/lazy_server.py
@@ -16,7 +16,7 @@
     from loomyard_router.admission.slot_metrics import SlotMetrics
     from loomyard_router.announced.target_metrics import TargetMetrics
     from loomyard_router.feeds.feed_state import FeedState
-    from loomyard_router.metrics.meters import Meters
+    from loomyard_router.metrics.request_metrics import RequestMetrics
     from loomyard_router.peers.traffic import TrafficCounters
     from loomyard_router.routed.body_metrics import BodyMetrics
     from loomyard_router.routed.unread_answer_metrics import UnreadAnswerMetrics
@@ -43,25 +43,25 @@
     address: str,
     ready: Callable[[], bool],
     *,
-    meters: Meters,
+    requests: RequestMetrics,
     traffic: TrafficCounters,
     in_flight: Callable[[], int],
     feeds: Callable[[], Iterable[FeedState]],
-    announced: TargetMetrics,
-    places: SlotMetrics,
+    targets: TargetMetrics,
+    slots: SlotMetrics,
     bodies: BodyMetrics,
     unread: UnreadAnswerMetrics,
 ) -> LazyMetricsServer:
     """Make the metrics listener; without an address it does not listen."""
 
     def make() -> Any:
-        from loomyard_router.metrics.exposition import MetersCollector
+        from loomyard_router.metrics.exposition import RouterCollector
         from loomyard_router.metrics.server import MetricsServer
 
         return MetricsServer(
             "",
             ready,
-            MetersCollector(meters, traffic, in_flight, feeds, announced, places, bodies, unread),
+            RouterCollector(requests, traffic, in_flight, feeds, targets, slots, bodies, unread),
         )
 
     return LazyMetricsServer(address, make)
--- a/packages/loomyard-router/src/loomyard_router/metrics/meters.py
+++ b/packages/loomyard-router/src/loomyard_router/metrics/request_metrics.py
@@ -19,7 +19,7 @@
 IDLE_SECONDS = 600.0
 
 
-class Meters:
+class RequestMetrics:
     """Histograms by client account and service, and counts of result codes.
 
     At most ``max_keys`` pairs of account and service have histograms of their own; the other
--- a/packages/loomyard-router/src/loomyard_router/operators/changes.py
+++ b/packages/loomyard-router/src/loomyard_router/operators/changes.py
@@ -16,7 +16,7 @@
     Change,
     Put,
     Verdict,
-    find_form_faults,
+    find_change_faults,
 )
 from loomyard.errors import Fault, ResultCode
 from loomyard.events import Event, emit
@@ -25,7 +25,7 @@
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
-    from loomyard.outside.log_service import LogService
+    from loomyard.external.log_service import LogService
     from loomyard_router.configuration.follower import ConfigFollower
     from loomyard_router.configuration.settled_change import SettledChange
     from loomyard_router.operators.fleet_status import FleetStatus
@@ -133,6 +133,6 @@
     if len(payload) > MAX_CHANGE_BYTES:
         detail = f"the change takes {len(payload)} bytes of {MAX_CHANGE_BYTES}; split it"
         return Fault(code=ResultCode.CHANGE_REJECTED, detail=detail)
-    if faults := find_form_faults(change):
+    if faults := find_change_faults(change):
         return Fault(code=ResultCode.CHANGE_REJECTED, detail="; ".join(faults))
     return None
--- a/packages/loomyard-router/src/loomyard_router/operators/interface.py
+++ b/packages/loomyard-router/src/loomyard_router/operators/interface.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from loomyard_router.parts import Parts, Platform
+    from loomyard_router.components import Platform, RouterComponents
     from loomyard_router.settings import Settings
 
 
@@ -30,7 +30,7 @@
 def make_operators_interface(
     settings: Settings,
     platform: Platform,
-    parts: Parts,
+    parts: RouterComponents,
     *,
     stopping: Callable[[], bool],
     begin_stop: Callable[[], None],
--- a/packages/loomyard-router/src/loomyard_router/orders/order_controller.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/order_controller.py
@@ -19,9 +19,9 @@
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
-    from loomyard.outside.engine import Engine
-    from loomyard.outside.log_service import LogService
-    from loomyard.outside.weight_store import WeightStore
+    from loomyard.external.engine import Engine
+    from loomyard.external.log_service import LogService
+    from loomyard.external.weight_store import WeightStore
     from loomyard.routing import Routing
     from loomyard_router.members.membership import Membership
     from loomyard_router.orders.backlog import BacklogView
--- a/packages/loomyard-router/src/loomyard_router/orders/order_lease_manager.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/order_lease_manager.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
-    from loomyard.outside.log_service import LogBatch, LogRecord, LogService
+    from loomyard.external.log_service import LogBatch, LogRecord, LogService
     from loomyard_router.members.membership import Member
 
 logger = logging.getLogger(__name__)
--- a/packages/loomyard-router/src/loomyard_router/orders/order_sender.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/order_sender.py
@@ -10,14 +10,14 @@
 
 from loomyard.errors import Executed, ResultCode
 from loomyard.events import Event, emit
-from loomyard.outside.engine import EngineOrder
+from loomyard.external.engine import EngineOrder
 from loomyard_router.orders.order_action import OrderAction
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
+    from loomyard.external.engine import Engine
+    from loomyard.external.weight_store import WeightStore
     from loomyard.objects import Target
-    from loomyard.outside.engine import Engine
-    from loomyard.outside.weight_store import WeightStore
     from loomyard_router.orders.order_lease_manager import OrderLeaseManager
     from loomyard_router.orders.target_view import TargetView
 
--- a/packages/loomyard-router/src/loomyard_router/orders/target_view.py
+++ b/packages/loomyard-router/src/loomyard_router/orders/target_view.py
@@ -4,8 +4,8 @@
 
 from attrs import frozen
 
+from loomyard.external.engine import LoadReport
 from loomyard.objects import Target
-from loomyard.outside.engine import LoadReport
 
 
 @frozen(kw_only=True)
--- a/packages/loomyard-router/src/loomyard_router/peers/compact_codec.py
+++ b/packages/loomyard-router/src/loomyard_router/peers/compact_codec.py
@@ -12,7 +12,7 @@
 
 from loomyard.codec import CODEC, structure_bytes
 from loomyard.objects import ConfigObject
-from loomyard.plain_cbor import load_plain
+from loomyard.untagged_cbor import load_untagged
 from loomyard.validation_errors import error_lines
 
 if TYPE_CHECKING:
@@ -31,7 +31,7 @@
 def unpack(data: bytes, kind: type[T]) -> Result[T, str]:
     """Decode a CBOR array into a typed value; the error says what is wrong."""
     try:
-        return structure(load_plain(data), kind)
+        return structure(load_untagged(data), kind)
     except Exception as error:  # cbor2 raises many types on hostile bytes
         return Err(f"{type(error).__name__}: {error}")
 
--- a/packages/loomyard-router/src/loomyard_router/peers/frames.py
+++ b/packages/loomyard-router/src/loomyard_router/peers/frames.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from loomyard.errors import Fault, ResultCode
-from loomyard.plain_cbor import make_plain_decoder
+from loomyard.untagged_cbor import make_untagged_decoder
 from loomyard_router.peers.fleet_secret import MAC_BYTES, is_valid_mac, truncated_hmac
 
 SEQUENCE_BYTES = 8
@@ -86,7 +86,7 @@
 def _decode_envelopes(body: bytes) -> Result[list[tuple[Envelope, int]], Fault]:
     envelopes: list[tuple[Envelope, int]] = []
     stream = BytesIO(body)
-    reader = make_plain_decoder(stream)
+    reader = make_untagged_decoder(stream)
     while (start := stream.tell()) < len(body):
         try:
             data = reader.decode()
--- a/packages/loomyard-router/src/loomyard_router/peers/link.py
+++ b/packages/loomyard-router/src/loomyard_router/peers/link.py
@@ -12,7 +12,7 @@
 
 from loomyard.errors import Fault, ResultCode
 from loomyard.events import Event, emit
-from loomyard_router.own_time import AnswerWait
+from loomyard_router.answer_wait import AnswerWait
 from loomyard_router.peers.compact_codec import COMPACT, structure
 from loomyard_router.peers.fleet_secret import MAC_BYTES
 from loomyard_router.peers.frames import (
@@ -134,7 +134,7 @@
             return
         self._closed = True
         for wait in self._answers.values():
-            wait.settle(_unreachable(f"the link to {self.peer.name} closed"))
+            wait.set_answer(_unreachable(f"the link to {self.peer.name} closed"))
         for queued in self._queue:
             self._traffic.record_dropped(queued.kind)
         self._queue.clear()
@@ -179,7 +179,7 @@
             self._traffic.record_sent(queued.kind, len(queued.data))
             self._traffic.framed_messages += 1
             if (wait := self._answers.get(queued.request)) is not None:
-                wait.note_sent()
+                wait.record_sent()
         self._queued_bytes -= size
         self._traffic.record_sent(FRAME, MAC_BYTES + FRAME_OVERHEAD)
         self.used_at = self._clock.now()
@@ -239,7 +239,7 @@
 
     def _settle(self, request: int, outcome: Result[Any, Fault]) -> None:
         if (wait := self._answers.get(request)) is not None:
-            wait.settle(outcome)
+            wait.set_answer(outcome)
 
     def _answer_request(self, request: int, message: Any) -> None:
         try:
--- a/packages/loomyard-router/src/loomyard_router/peers/websocket_links.py
+++ b/packages/loomyard-router/src/loomyard_router/peers/websocket_links.py
@@ -13,7 +13,7 @@
 
 from loomyard.errors import Fault, ResultCode
 from loomyard.events import Event, emit
-from loomyard.util.tcp import disable_delay, end_if_silent
+from loomyard.util.tcp import disable_nagle, set_keepalive
 from loomyard_router.members.membership import Member, MemberState
 from loomyard_router.peers.acceptor import Acceptor, library_logger
 from loomyard_router.peers.channel import WebSocketChannel, connect_channel
@@ -264,5 +264,5 @@
 
 def set_tcp_timeouts(connection: socket.socket) -> None:
     """Let the kernel end a connection whose peer stops responding, and disable Nagle's delay."""
-    disable_delay(connection)
-    end_if_silent(connection)
+    disable_nagle(connection)
+    set_keepalive(connection)
--- a/packages/loomyard-router/src/loomyard_router/platform/__main__.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/__main__.py
@@ -23,7 +23,7 @@
 
 from loomyard.bounded_log import BoundedLogHandler  # noqa: E402
 from loomyard.clock import SystemClock  # noqa: E402
-from loomyard.logs import JSON, use_handler  # noqa: E402
+from loomyard.logs import JSON, install_handler  # noqa: E402
 from loomyard.util.collector import tune_collector  # noqa: E402
 from loomyard_router.feeds.store_era import StoreEra  # noqa: E402
 from loomyard_router.platform import names  # noqa: E402
@@ -31,7 +31,7 @@
 from loomyard_router.platform.documents import (  # noqa: E402
     decode_configuration,
     decode_target,
-    find_emptied_data_centre,
+    find_evacuated_data_centre,
 )
 from loomyard_router.platform.settings_file import read_settings  # noqa: E402
 from loomyard_router.platform.settings_watch import SettingsWatch  # noqa: E402
@@ -55,7 +55,7 @@
             pass
     clock = SystemClock()
     log_handler = BoundedLogHandler(sys.stdout.fileno(), clock)
-    use_handler(log_handler, JSON)
+    install_handler(log_handler, JSON)
     log_handler.start()
     era = StoreEra()
     application = RoutedApplication(
@@ -66,7 +66,7 @@
             tables=StoreFeed(settings.store, names.CONFIGURATION_TOPIC, clock, era),
             table_key=names.CONFIGURATION_KEY,
             decode_table=decode_configuration,
-            find_emptied_data_centre=find_emptied_data_centre,
+            find_evacuated_data_centre=find_evacuated_data_centre,
             targets=StoreFeed(settings.store, names.TARGETS_TOPIC, clock, era),
             decode_target=decode_target,
             caller_codec=PlatformCallers(),
@@ -85,7 +85,7 @@
     application.start()
     stopping.wait()
     application.drain()
-    log_handler.flush_now(clock.now() + FLUSH_SECONDS)
+    log_handler.flush_until(clock.now() + FLUSH_SECONDS)
     return 0
 
 
--- a/packages/loomyard-router/src/loomyard_router/platform/callers.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/callers.py
@@ -132,7 +132,7 @@
             prompt_tokens=int(prompt_tokens or 0),
             max_output_tokens=int(max_output or 0),
             output_hint=None if hint is None else int(float(hint)),
-            last_event=fields.get(names.LAST_EVENT_ID.lower(), ""),
+            last_event_id=fields.get(names.LAST_EVENT_ID.lower(), ""),
         )
 
 
--- a/packages/loomyard-router/src/loomyard_router/platform/documents.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/documents.py
@@ -16,13 +16,13 @@
 from loomyard_router.platform import names
 from loomyard_router.platform.entries import DRAINING, ConfigurationEntry, TargetEntry
 from loomyard_router.platform.entry_fields import is_name, read_fields
-from loomyard_router.routes.account_terms import AccountTerms
+from loomyard_router.routes.account_config import AccountConfig
 from loomyard_router.routes.caller_limits import CallerLimits
 from loomyard_router.routes.kind import RouteKind
 from loomyard_router.routes.route import Route
 from loomyard_router.routes.route_table import RouteTable, make_route_table
-from loomyard_router.routes.service_share import ServiceShare
-from loomyard_router.routes.service_terms import EngineTerms, ServiceTerms
+from loomyard_router.routes.service_config import EngineConfig, ServiceConfig
+from loomyard_router.routes.weighted_service import WeightedService
 
 if TYPE_CHECKING:
     from loomyard_router.platform.entries import (
@@ -53,7 +53,7 @@
     return _decode(TargetEntry, data).map(lambda entry: _make_target(key, entry))
 
 
-def find_emptied_data_centre(key: str) -> str | None:
+def find_evacuated_data_centre(key: str) -> str | None:
     """Return the data centre that an evacuation record names, ``None`` for any other record."""
     if not key.startswith(names.EVACUATION_PREFIX):
         return None
@@ -99,17 +99,17 @@
 def _make_route(entry: RouteEntry) -> Route:
     if entry.split:
         shares = tuple(
-            ServiceShare(service=part.service, weight=part.weight) for part in entry.split
+            WeightedService(service=part.service, weight=part.weight) for part in entry.split
         )
     else:
-        shares = (ServiceShare(service=entry.service or "", weight=1.0),)
+        shares = (WeightedService(service=entry.service or "", weight=1.0),)
     return Route(
         name=entry.name,
         host=entry.host.lower(),
         prefix=entry.path_prefix,
         # Requests of an unknown kind may not be idempotent, so they are never repeated.
         kind=ROUTE_KINDS.get(entry.route_kind or "", RouteKind.NON_IDEMPOTENT),
-        shares=shares,
+        weighted_services=shares,
         timeout=_seconds(entry.timeout_ms),
         objective=_seconds(entry.slo_ms),
         gap_objective=_seconds(entry.gap_slo_ms),
@@ -120,8 +120,8 @@
     )
 
 
-def _make_service(entry: ServiceEntry) -> ServiceTerms:
-    return ServiceTerms(
+def _make_service(entry: ServiceEntry) -> ServiceConfig:
+    return ServiceConfig(
         name=entry.name,
         health_path=entry.health_path or "",
         max_connections=entry.max_conns,
@@ -131,12 +131,12 @@
     )
 
 
-def _make_engine(entry: EngineEntry) -> EngineTerms:
-    return EngineTerms(slots=entry.slots, memory_tokens=entry.kv_capacity)
+def _make_engine(entry: EngineEntry) -> EngineConfig:
+    return EngineConfig(slots=entry.slots, memory_tokens=entry.kv_capacity)
 
 
-def _make_account(entry: TenantEntry) -> AccountTerms:
-    return AccountTerms(name=entry.name, keys=tuple(entry.api_keys), priority=entry.priority)
+def _make_account(entry: TenantEntry) -> AccountConfig:
+    return AccountConfig(name=entry.name, keys=tuple(entry.api_keys), priority=entry.priority)
 
 
 def _make_limits(entry: LimitsEntry) -> CallerLimits:
--- a/packages/loomyard-router/src/loomyard_router/platform/settings_file.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/settings_file.py
@@ -30,7 +30,7 @@
 DEFAULT_MEMORY_MB = 256.0
 MEMORY_FRACTION = 0.8
 # Fraction of the memory limit for request bodies; part of ``MEMORY_FRACTION``.
-BODIES_PART = 0.15
+BODIES_FRACTION = 0.15
 MEGABYTE = 1 << 20
 MIN_CONNECTIONS = 100
 
@@ -84,14 +84,14 @@
         ),
         most_connections=_max_connections(fields),
         share_window=float(fields.get("bounds.quota_window_s", 4.0)),
-        body_bytes=int(BODIES_PART * _memory_mb(fields) * MEGABYTE),
+        body_bytes=int(BODIES_FRACTION * _memory_mb(fields) * MEGABYTE),
         event_seconds=float(fields.get("bounds.pass_ms", 0.0)) / MILLISECONDS,
     )
 
 
 def _max_connections(fields: Mapping[str, str]) -> int:
     descriptors = int(fields.get("limits.max_fds", DEFAULT_DESCRIPTORS)) - RESERVED_DESCRIPTORS
-    memory = (MEMORY_FRACTION - BODIES_PART) * _memory_mb(fields) - BASE_MB
+    memory = (MEMORY_FRACTION - BODIES_FRACTION) * _memory_mb(fields) - BASE_MB
     bound = min(CALLERS_FRACTION * descriptors, memory / CONNECTION_MB)
     return max(MIN_CONNECTIONS, int(bound))
 
--- a/packages/loomyard-router/src/loomyard_router/platform/targets.py
+++ b/packages/loomyard-router/src/loomyard_router/platform/targets.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING
 
-from loomyard.util.seconds import read_seconds
+from loomyard.util.seconds import parse_seconds
 from loomyard_router.announced.target_notice import NO_NOTICE, TargetNotice
 from loomyard_router.platform import names
 from loomyard_router.routed.http_codecs import AnswerHead, HealthAnswer
@@ -67,5 +67,5 @@
         return NO_NOTICE
     leaving = fields.get(names.LEAVING.lower(), "").strip() == names.LEAVING_VALUE
     refused = status == HTTPStatus.SERVICE_UNAVAILABLE
-    delay = read_seconds(fields.get(names.RETRY_AFTER.lower(), "")) if refused else 0.0
+    delay = parse_seconds(fields.get(names.RETRY_AFTER.lower(), "")) if refused else 0.0
     return TargetNotice(leaving=leaving, backoff_seconds=delay) if leaving or delay else NO_NOTICE
--- a/packages/loomyard-router/src/loomyard_router/relays/stream_relay.py
+++ b/packages/loomyard-router/src/loomyard_router/relays/stream_relay.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from loomyard.outside.engine import TargetAnswer
+    from loomyard.external.engine import TargetAnswer
     from loomyard_router.relays.event_stream import EventStream
 
     Resume = Callable[[int], Result[TargetAnswer, Fault]]
--- a/packages/loomyard-router/src/loomyard_router/requests/answer_check.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/answer_check.py
@@ -7,10 +7,10 @@
 
 from loomyard.errors import Executed, Fault, ResultCode
 from loomyard.objects import ServiceType
-from loomyard.util.seconds import read_seconds
+from loomyard.util.seconds import parse_seconds
 
 if TYPE_CHECKING:
-    from loomyard.outside.engine import TargetAnswer, TargetCall
+    from loomyard.external.engine import TargetAnswer, TargetCall
     from loomyard_router.requests.request import Request
 
 NOT_RUN_HEADER = "loomyard-not-run"
@@ -50,7 +50,7 @@
 
 def read_backoff(headers: dict[str, str]) -> float:
     """Return the seconds of back-off that a refusing target asks for; 0 where it asks for none."""
-    return read_seconds(headers.get(RETRY_AFTER_HEADER, ""))
+    return parse_seconds(headers.get(RETRY_AFTER_HEADER, ""))
 
 
 def _check_model_answer(
--- a/packages/loomyard-router/src/loomyard_router/requests/attempt.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/attempt.py
@@ -4,7 +4,7 @@
 
 from attrs import define
 
-from loomyard.outside.engine import TargetAnswer, TargetCall
+from loomyard.external.engine import TargetAnswer, TargetCall
 from loomyard_router.requests.settlement import Settlement
 
 
--- a/packages/loomyard-router/src/loomyard_router/requests/claimed_run.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/claimed_run.py
@@ -7,19 +7,19 @@
 from result import Err, Ok, Result
 
 from loomyard.errors import ResultCode
-from loomyard_router.claims.keeper import RecordedOutcome
+from loomyard_router.claims.claim_coordinator import RecordedOutcome
 from loomyard_router.claims.keys import claim_key_of
 
 if TYPE_CHECKING:
     from loomyard.errors import Fault
-    from loomyard_router.claims.keeper import Claim, ClaimKeeper
+    from loomyard_router.claims.claim_coordinator import Claim, ClaimCoordinator
     from loomyard_router.requests.request import Request
 
 
 class ClaimedRun:
     """Take a claim through its states; for a request without a claim every step does nothing."""
 
-    def __init__(self, keeper: ClaimKeeper, claim: Claim | None = None) -> None:
+    def __init__(self, keeper: ClaimCoordinator, claim: Claim | None = None) -> None:
         self._keeper = keeper
         self._claim = claim
         self._begun = False
@@ -52,7 +52,9 @@
             self._keeper.abandon(claim)
 
 
-def claim_run(keeper: ClaimKeeper, request: Request) -> Result[ClaimedRun | RecordedOutcome, Fault]:
+def claim_run(
+    keeper: ClaimCoordinator, request: Request
+) -> Result[ClaimedRun | RecordedOutcome, Fault]:
     """Claim the key of a request that may run only once; other requests need no claim."""
     key = claim_key_of(request)
     if key is None:
--- a/packages/loomyard-router/src/loomyard_router/requests/request_pipeline.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/request_pipeline.py
@@ -9,7 +9,7 @@
 from result import Err, Ok, Result
 
 from loomyard.errors import Executed, Fault
-from loomyard_router.claims.keeper import RecordedOutcome
+from loomyard_router.claims.claim_coordinator import RecordedOutcome
 from loomyard_router.metrics.phase import Phase
 from loomyard_router.requests.claimed_run import ClaimedRun, claim_run
 from loomyard_router.requests.journal import Step
@@ -26,10 +26,10 @@
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
-    from loomyard.outside.engine import Engine
-    from loomyard_router.claims.keeper import ClaimKeeper
+    from loomyard.external.engine import Engine
+    from loomyard_router.claims.claim_coordinator import ClaimCoordinator
     from loomyard_router.configuration.follower import ConfigFollower
-    from loomyard_router.metrics.meters import Meters
+    from loomyard_router.metrics.request_metrics import RequestMetrics
     from loomyard_router.orders.local_backlog import LocalBacklog
     from loomyard_router.requests.answer import Answer
     from loomyard_router.requests.attempt import Attempt
@@ -51,12 +51,12 @@
         follower: ConfigFollower,
         policy: SharePolicy,
         targets: TargetDirectory,
-        claims: ClaimKeeper,
+        claims: ClaimCoordinator,
         engine: Engine,
         estimates: CostEstimates,
         journal: Journal,
         stream_resumer: StreamResumer,
-        meters: Meters,
+        meters: RequestMetrics,
         retries: Retries | None = None,
     ) -> None:
         self._clock = clock
--- a/packages/loomyard-router/src/loomyard_router/requests/sender.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/sender.py
@@ -10,7 +10,7 @@
 
 from loomyard.errors import Executed, Fault, ResultCode
 from loomyard.events import Event, emit
-from loomyard.outside.engine import TargetCall
+from loomyard.external.engine import TargetCall
 from loomyard_router.requests.answer_check import check_answer, is_leaving, read_backoff
 from loomyard_router.requests.attempt import Attempt
 from loomyard_router.requests.journal import Step
@@ -19,7 +19,7 @@
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
-    from loomyard.outside.engine import Engine, TargetAnswer
+    from loomyard.external.engine import Engine, TargetAnswer
     from loomyard_router.requests.claimed_run import ClaimedRun
     from loomyard_router.requests.estimates import CostEstimates
     from loomyard_router.requests.journal import Journal
--- a/packages/loomyard-router/src/loomyard_router/requests/stream_answers.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/stream_answers.py
@@ -11,7 +11,7 @@
 from loomyard.errors import Fault, ResultCode
 from loomyard.events import Event, emit
 from loomyard_router.callers.problems import error_event
-from loomyard_router.claims.keeper import RecordedOutcome
+from loomyard_router.claims.claim_coordinator import RecordedOutcome
 from loomyard_router.metrics.phase import Phase
 from loomyard_router.relays.event_stream import EventStream
 from loomyard_router.relays.stream_relay import StreamRelay
@@ -24,8 +24,8 @@
     from collections.abc import Generator
 
     from loomyard.clock import Clock
-    from loomyard.outside.engine import Engine
-    from loomyard_router.metrics.meters import Meters
+    from loomyard.external.engine import Engine
+    from loomyard_router.metrics.request_metrics import RequestMetrics
     from loomyard_router.requests.attempt import Attempt
     from loomyard_router.requests.claimed_run import ClaimedRun
     from loomyard_router.requests.request import Request
@@ -48,7 +48,7 @@
         attempt: Attempt,
         run: ClaimedRun,
         stream_resumer: StreamResumer,
-        meters: Meters,
+        meters: RequestMetrics,
     ) -> None:
         self._clock = clock
         self._engine = engine
--- a/packages/loomyard-router/src/loomyard_router/requests/stream_resumer.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/stream_resumer.py
@@ -11,7 +11,7 @@
 
 from loomyard.errors import Executed, Fault, ResultCode
 from loomyard.events import Event, emit
-from loomyard.outside.engine import TargetCall
+from loomyard.external.engine import TargetCall
 from loomyard_router.callers.problems import error_event
 from loomyard_router.relays.event_stream import EventStream
 from loomyard_router.relays.stream_relay import StreamRelay
@@ -25,8 +25,8 @@
     from collections.abc import Callable, Generator
 
     from loomyard.clock import Clock
+    from loomyard.external.engine import Engine
     from loomyard.objects import ClientAccount
-    from loomyard.outside.engine import Engine
     from loomyard_router.configuration.follower import ConfigFollower
     from loomyard_router.requests.attempt import Attempt
     from loomyard_router.requests.caller_presence import CallerPresence
--- a/packages/loomyard-router/src/loomyard_router/requests/whole_answers.py
+++ b/packages/loomyard-router/src/loomyard_router/requests/whole_answers.py
@@ -10,7 +10,7 @@
 
 from loomyard.errors import Executed, Fault, ResultCode
 from loomyard.objects import ServiceType
-from loomyard_router.claims.keeper import RecordedOutcome
+from loomyard_router.claims.claim_coordinator import RecordedOutcome
 from loomyard_router.relays.usage import find_usage
 from loomyard_router.requests.answer import Answer
 from loomyard_router.requests.answer_check import EVENT_STREAM_TYPE
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Generator
 
-    from loomyard.outside.engine import TargetAnswer
+    from loomyard.external.engine import TargetAnswer
     from loomyard_router.requests.attempt import Attempt
     from loomyard_router.requests.claimed_run import ClaimedRun
     from loomyard_router.requests.request import Request
--- a/packages/loomyard-router/src/loomyard_router/routed/answer_relay.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/answer_relay.py
@@ -37,7 +37,7 @@
         self._coalescer = coalescer
         self._request = request
         self._exchange: Exchange | None = exchange
-        after = request.head.last_event
+        after = request.head.last_event_id
         self._event_stream = EventStream(after=int(after) if after.isdigit() else -1)
         self._resumes_left = max(0, request.route.max_attempts - 1)
 
--- a/packages/loomyard-router/src/loomyard_router/routed/app.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/app.py
@@ -22,16 +22,16 @@
     from collections.abc import Callable, Iterable
 
     from loomyard.clock import Clock
-    from loomyard_router.metrics.meters import Meters
+    from loomyard_router.metrics.request_metrics import RequestMetrics
     from loomyard_router.requests.answer import Answer
     from loomyard_router.routed.body_budget import BodyBudget
     from loomyard_router.routed.forwarder import Forwarder
     from loomyard_router.routed.http_codecs import CallerCodec
     from loomyard_router.routed.request_head import RequestHead
-    from loomyard_router.routes.account_terms import AccountTerms
+    from loomyard_router.routes.account_config import AccountConfig
     from loomyard_router.routes.route import Route
     from loomyard_router.routes.route_table import RouteTable
-    from loomyard_router.routes.table_holder import TableHolder
+    from loomyard_router.routes.route_table_holder import RouteTableHolder
 
     Environ = dict[str, Any]
     StartResponse = Callable[[str, list[tuple[str, str]]], Any]
@@ -57,17 +57,17 @@
         self,
         *,
         clock: Clock,
-        holder: TableHolder,
+        holder: RouteTableHolder,
         codec: CallerCodec,
         forwarder: Forwarder,
-        meters: Meters,
+        meters: RequestMetrics,
         closing_connections: Callable[[], bool],
         refusing_requests: Callable[[], bool] = lambda: False,
         overloaded: Callable[[], bool] = lambda: False,
-        bodies: BodyBudget,
+        body_budget: BodyBudget,
     ) -> None:
         self._clock = clock
-        self._bodies = bodies
+        self._bodies = body_budget
         self._holder = holder
         self._codec = codec
         self._forwarder = forwarder
@@ -133,7 +133,7 @@
 
     def _authenticate(
         self, table: RouteTable, route: Route, head: RequestHead
-    ) -> Result[AccountTerms | None, Fault]:
+    ) -> Result[AccountConfig | None, Fault]:
         if route.public or not table.keys_required:
             return Ok(None)
         account = table.authenticate(head.key)
@@ -147,7 +147,7 @@
         environ: Environ,
         head: RequestHead,
         route: Route,
-        account: AccountTerms | None,
+        account: AccountConfig | None,
         body: bytes,
         now: float,
     ) -> RoutedRequest:
--- a/packages/loomyard-router/src/loomyard_router/routed/attempt_sender.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/attempt_sender.py
@@ -10,7 +10,7 @@
 
 from loomyard.errors import Executed, Fault, ResultCode
 from loomyard_router.admission.slot_permit import SlotPermit
-from loomyard_router.own_time import NEGLIGIBLE_LAG, take_turn
+from loomyard_router.answer_wait import NEGLIGIBLE_LAG, run_loop_pass
 from loomyard_router.routed.target_connection import (
     ExchangeBrokenError,
     ExchangeTimeoutError,
@@ -83,7 +83,7 @@
 
     def _connect_fault(self, error: OSError) -> Fault:
         """Return the fault of a failed connect; a timeout in a lagging router is its own fault."""
-        if isinstance(error, TimeoutError) and take_turn(self._clock) > NEGLIGIBLE_LAG:
+        if isinstance(error, TimeoutError) and run_loop_pass(self._clock) > NEGLIGIBLE_LAG:
             detail = "the connect timed out while the event loop of this router lagged"
             return Fault(code=ResultCode.ROUTER_OVERLOADED, detail=detail)
         return Fault(code=ResultCode.TARGET_UNREACHABLE, detail=f"no connection: {error}")
--- a/packages/loomyard-router/src/loomyard_router/routed/early_refusal.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/early_refusal.py
@@ -19,9 +19,9 @@
 
     from loomyard_router.admission.account_backlog import AccountBacklog
     from loomyard_router.admission.waiting_time import RetryHint
-    from loomyard_router.metrics.meters import Meters
+    from loomyard_router.metrics.request_metrics import RequestMetrics
     from loomyard_router.routed.http_codecs import CallerCodec
-    from loomyard_router.routes.table_holder import TableHolder
+    from loomyard_router.routes.route_table_holder import RouteTableHolder
 
 logger = logging.getLogger(__name__)
 
@@ -51,12 +51,12 @@
     def __init__(
         self,
         *,
-        holder: TableHolder,
+        holder: RouteTableHolder,
         codec: CallerCodec,
         backlog: AccountBacklog,
         overloaded: Callable[[], bool],
         retry_hint: RetryHint,
-        meters: Meters,
+        meters: RequestMetrics,
     ) -> None:
         self._holder = holder
         self._codec = codec
--- a/packages/loomyard-router/src/loomyard_router/routed/forwarder.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/forwarder.py
@@ -89,7 +89,7 @@
         whether it may have run at any target.
         """
         self._retry_budget.record_request(request.service)
-        opened = self.open(request, excluded=frozenset(), last_event=request.head.last_event)
+        opened = self.open(request, excluded=frozenset(), last_event=request.head.last_event_id)
         if opened.is_err():
             return Err(opened.unwrap_err())
         exchange, first, complete = opened.unwrap()
@@ -293,7 +293,7 @@
         if fault.code is ResultCode.TARGET_REFUSED:
             # A target refuses for lack of a slot, or because of a header that it can't honour.
             extra = {
-                "taken": permit.taken,
+                "taken": permit.slots_in_use,
                 "sent": [name for name, _ in request.head.forwarded_headers],
             }
         emit(
--- a/packages/loomyard-router/src/loomyard_router/routed/request_head.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/request_head.py
@@ -29,4 +29,4 @@
     prompt_tokens: int = 0
     max_output_tokens: int = 0
     output_hint: int | None = None
-    last_event: str = ""
+    last_event_id: str = ""
--- a/packages/loomyard-router/src/loomyard_router/routed/request_trace.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/request_trace.py
@@ -35,9 +35,9 @@
     def record_slot(self, permit: SlotPermit, now: float) -> None:
         """Record that a slot was granted for the next attempt."""
         self.target = permit.target.id
-        self.slots_in_use = permit.taken
-        self.target_rank = permit.choice
-        self.expected_ttft = permit.expected
+        self.slots_in_use = permit.slots_in_use
+        self.target_rank = permit.target_rank
+        self.expected_ttft = permit.expected_ttft
         self.slot_at = now
         self.attempts += 1
 
--- a/packages/loomyard-router/src/loomyard_router/routed/routed_request.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/routed_request.py
@@ -10,7 +10,7 @@
 from loomyard_router.routed.fingerprint import make_fingerprint
 from loomyard_router.routed.request_head import RequestHead
 from loomyard_router.routed.request_trace import RequestTrace
-from loomyard_router.routes.account_terms import AccountTerms
+from loomyard_router.routes.account_config import AccountConfig
 from loomyard_router.routes.route import Route
 
 # Cost of an output token in prompt tokens, as the platform accounts for engine time.
@@ -30,7 +30,7 @@
     head: RequestHead
     route: Route
     service: str
-    account: AccountTerms | None
+    account: AccountConfig | None
     method: str
     path: str
     body: bytes = field(repr=False)
--- a/packages/loomyard-router/src/loomyard_router/routed/target_connection.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/target_connection.py
@@ -9,7 +9,7 @@
 from gevent import socket
 
 from loomyard.util.addresses import split_address
-from loomyard.util.tcp import disable_delay, end_if_silent
+from loomyard.util.tcp import disable_nagle, set_keepalive
 from loomyard_router.routed.answer_parser import AnswerParser
 
 if TYPE_CHECKING:
@@ -160,6 +160,6 @@
     """Open a connection within ``seconds``. Errors: ``OSError``; nothing was sent then."""
     sock = socket.create_connection(split_address(address), timeout=seconds)
     sock.settimeout(None)
-    disable_delay(sock)
-    end_if_silent(sock)
+    disable_nagle(sock)
+    set_keepalive(sock)
     return TargetConnection(sock, clock, watch)
--- a/packages/loomyard-router/src/loomyard_router/routed_application.py
+++ b/packages/loomyard-router/src/loomyard_router/routed_application.py
@@ -40,7 +40,7 @@
 from loomyard_router.feeds.unreadable_entry import UnreadableEntry
 from loomyard_router.fleet_components import make_fleet_components
 from loomyard_router.metrics.lazy_server import make_lazy_metrics
-from loomyard_router.metrics.meters import Meters
+from loomyard_router.metrics.request_metrics import RequestMetrics
 from loomyard_router.ready_listener import ReadyListener
 from loomyard_router.requests.retry_budget import RetryBudget
 from loomyard_router.routed.app import RoutedApp
@@ -57,8 +57,8 @@
 from loomyard_router.routed.unread_answers import UnreadAnswers
 from loomyard_router.routes.caller_limits import CallerLimits
 from loomyard_router.routes.route_table import RouteTable
-from loomyard_router.routes.table_feed import TableFeed
-from loomyard_router.routes.table_holder import TableHolder
+from loomyard_router.routes.route_table_consumer import RouteTableConsumer
+from loomyard_router.routes.route_table_holder import RouteTableHolder
 from loomyard_router.settings import EXAMPLE_SECRET, FLEET_SECRET_VARIABLE, Settings
 
 if TYPE_CHECKING:
@@ -83,7 +83,7 @@
     tables: Feed
     table_key: str
     decode_table: Callable[[bytes], Result[RouteTable, UnreadableEntry]]
-    find_emptied_data_centre: Callable[[str], str | None]
+    find_evacuated_data_centre: Callable[[str], str | None]
     targets: Feed
     decode_target: Callable[[str, bytes], Result[AnnouncedTarget, UnreadableEntry]]
     caller_codec: CallerCodec
@@ -101,11 +101,11 @@
         self._settings = settings
         self._clock = clock
         self.stopping = False
-        self.closing = False
+        self.refusing = False
         rng = random.Random()
-        self.holder = TableHolder(platform.decode_table)
+        self.holder = RouteTableHolder(platform.decode_table)
         self.registry = TargetRegistry(clock)
-        self._evacuated = EvacuatedDataCentres(platform.find_emptied_data_centre)
+        self._evacuated = EvacuatedDataCentres(platform.find_evacuated_data_centre)
         self._evacuated.subscribe(self.registry.set_evacuated)
         self._unreadable = UnreadableEntries()
         self._tables = FeedFollower(
@@ -113,14 +113,14 @@
             FanOutConsumer(
                 (
                     self._evacuated,
-                    TableFeed(self.holder, platform.table_key, self._unreadable),
+                    RouteTableConsumer(self.holder, platform.table_key, self._unreadable),
                 )
             ),
             clock,
             rng,
             min_read_interval=settings.feed_pace,
             era=platform.era,
-            rollback_policy=OrderRollbackPolicy(platform.find_emptied_data_centre),
+            rollback_policy=OrderRollbackPolicy(platform.find_evacuated_data_centre),
         )
         self._targets = FeedFollower(
             platform.targets,
@@ -139,7 +139,7 @@
             members=self.members,
             peers=peers,
             followers=(self._tables, self._targets),
-            source=rng,
+            rng=rng,
         )
         self._loop_lag = LoopLag(clock, max_lag=settings.most_lag)
         self._admission = make_admission(
@@ -155,7 +155,7 @@
         self._leaving_exchange = LeavingExchange(clock, self.registry, self.members)
         self._crash_ledger = CrashLedger(clock)
         self._crash_exchange = CrashExchange(
-            clock=clock, ledger=self._crash_ledger, members=self.members, peers=peers, source=rng
+            clock=clock, ledger=self._crash_ledger, members=self.members, peers=peers, rng=rng
         )
         self._crash_persister: CrashPersister | None = None
         if platform.crashes is not None:
@@ -174,8 +174,8 @@
         )
         self._probe = CoalescedProbe(liveness_probe.has_ended)
         self._crash_guard = CrashGuard(clock, self._crash_ledger, self._probe)
-        self.bodies = BodyBudget(settings.body_bytes, rng)
-        self.unread = UnreadAnswers(clock, self.bodies)
+        self.body_budget = BodyBudget(settings.body_bytes, rng)
+        self.unread_answers = UnreadAnswers(clock, self.body_budget)
         forwarder = Forwarder(
             clock=clock,
             gate=self._admission.gate,
@@ -190,9 +190,9 @@
             coalescer=EventCoalescer(
                 clock=clock, max_delay=settings.event_seconds, lag=lambda: self._loop_lag.seconds
             ),
-            unread_answers=self.unread,
+            unread_answers=self.unread_answers,
         )
-        meters = Meters(clock)
+        meters = RequestMetrics(clock)
         self.app = RoutedApp(
             clock=clock,
             meters=meters,
@@ -200,9 +200,9 @@
             codec=platform.caller_codec,
             forwarder=forwarder,
             closing_connections=lambda: self.stopping or self._listener.over_connection_limit,
-            refusing_requests=lambda: self.closing,
+            refusing_requests=lambda: self.refusing,
             overloaded=lambda: self._loop_lag.overloaded,
-            bodies=self.bodies,
+            body_budget=self.body_budget,
         )
         self._in_flight = InFlight(clock)
         self._listener = RoutedListener(
@@ -226,11 +226,11 @@
         self._metrics = make_lazy_metrics(
             settings.metrics_listen,
             lambda: self.ready,
-            meters=meters,
+            requests=meters,
             traffic=self.fleet.traffic,
             in_flight=lambda: self.in_flight,
             feeds=self._feed_exchange.states,
-            announced=TargetMetrics(
+            targets=TargetMetrics(
                 evacuated=lambda: len(self._evacuated.names),
                 cold=self._admission.cold_targets.count,
                 suspected=self._crash_ledger.count_suspected,
@@ -241,11 +241,11 @@
                 backoff_requests=lambda: self.registry.notices.backoff_requests,
                 unreadable=lambda: self._unreadable.counts,
             ),
-            places=self._admission.slot_metrics,
-            bodies=self.bodies.metrics,
+            slots=self._admission.slot_metrics,
+            bodies=self.body_budget.metrics,
             unread=UnreadAnswerMetrics(
-                buffered=lambda: self.unread.buffered,
-                aborted=lambda: self.unread.aborted,
+                buffered=lambda: self.unread_answers.buffered,
+                aborted=lambda: self.unread_answers.aborted,
             ),
         )
         self.registry.subscribe(self._retain_listed)
@@ -311,7 +311,7 @@
         self.members.leave()
         self._clock.sleep(max(0.0, unlisted_at - self._clock.now()))
         # Running requests may end within the grace; new ones are refused, to be sent elsewhere.
-        self.closing = True
+        self.refusing = True
         self._listener.close_listener()
         self._listener.close_idle()
         self._in_flight.wait_idle(deadline)
--- a/packages/loomyard-router/src/loomyard_router/routes/account_terms.py
+++ b/packages/loomyard-router/src/loomyard_router/routes/account_config.py
@@ -6,7 +6,7 @@
 
 
 @frozen(kw_only=True)
-class AccountTerms:
+class AccountConfig:
     """A client account with its keys; ``priority`` is ``None`` where it has none of its own."""
 
     name: str
--- a/packages/loomyard-router/src/loomyard_router/routes/route.py
+++ b/packages/loomyard-router/src/loomyard_router/routes/route.py
@@ -7,7 +7,7 @@
 from attrs import frozen
 
 from loomyard_router.routes.kind import RouteKind
-from loomyard_router.routes.service_share import ServiceShare
+from loomyard_router.routes.weighted_service import WeightedService
 
 DIGEST_BYTES = 8
 
@@ -25,7 +25,7 @@
     host: str
     prefix: str
     kind: RouteKind
-    shares: tuple[ServiceShare, ...]
+    weighted_services: tuple[WeightedService, ...]
     timeout: float | None = None
     objective: float | None = None
     gap_objective: float | None = None
@@ -42,12 +42,12 @@
         return self.kind is RouteKind.IDEMPOTENT
 
     @property
-    def streams(self) -> bool:
+    def is_stream(self) -> bool:
         return self.kind is RouteKind.STREAM
 
     def choose_service(self, key: str) -> str:
         """Return the service of a request, by weighted hash of ``key``."""
-        shares = self.shares
+        shares = self.weighted_services
         if len(shares) == 1:
             return shares[0].service
         digest = blake2b(key.encode(), digest_size=DIGEST_BYTES).digest()
--- a/packages/loomyard-router/src/loomyard_router/routes/route_table.py
+++ b/packages/loomyard-router/src/loomyard_router/routes/route_table.py
@@ -6,10 +6,10 @@
 
 from attrs import field, frozen
 
-from loomyard_router.routes.account_terms import AccountTerms
+from loomyard_router.routes.account_config import AccountConfig
 from loomyard_router.routes.caller_limits import CallerLimits
 from loomyard_router.routes.route import Route
-from loomyard_router.routes.service_terms import ServiceTerms
+from loomyard_router.routes.service_config import ServiceConfig
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -21,8 +21,8 @@
 
     version: int
     routes_by_host: dict[str, dict[str, Route]] = field(repr=False)
-    services: dict[str, ServiceTerms] = field(repr=False)
-    accounts_by_key: dict[str, AccountTerms] = field(repr=False)
+    services: dict[str, ServiceConfig] = field(repr=False)
+    accounts_by_key: dict[str, AccountConfig] = field(repr=False)
     limits: CallerLimits
     keys_required: bool
 
@@ -43,7 +43,7 @@
             end = path.rfind("/", 0, end - 1) + 1
         return None
 
-    def authenticate(self, key: str) -> AccountTerms | None:
+    def authenticate(self, key: str) -> AccountConfig | None:
         """Return the client account that holds a key."""
         return self.accounts_by_key.get(key)
 
@@ -52,8 +52,8 @@
     *,
     version: int,
     routes: Iterable[Route],
-    services: Iterable[ServiceTerms],
-    accounts: Iterable[AccountTerms] | None,
+    services: Iterable[ServiceConfig],
+    accounts: Iterable[AccountConfig] | None,
     limits: CallerLimits | None = None,
 ) -> RouteTable:
     """Make an indexed table; ``accounts`` is ``None`` where callers need no key."""
--- a/packages/loomyard-router/src/loomyard_router/routes/table_feed.py
+++ b/packages/loomyard-router/src/loomyard_router/routes/route_table_consumer.py
@@ -9,7 +9,7 @@
 
 from loomyard_router.feeds.record_consumer import STORE
 from loomyard_router.feeds.unreadable_entries import UnreadableEntries
-from loomyard_router.routes.table_holder import TableHolder
+from loomyard_router.routes.route_table_holder import RouteTableHolder
 
 if TYPE_CHECKING:
     from loomyard_router.feeds.keyed_record import KeyedRecord
@@ -18,10 +18,10 @@
 
 
 @frozen
-class TableFeed:
+class RouteTableConsumer:
     """Puts the newest readable configuration of a feed in force; ``key`` holds all of it."""
 
-    holder: TableHolder
+    holder: RouteTableHolder
     key: str
     unreadable: UnreadableEntries
 
--- a/packages/loomyard-router/src/loomyard_router/routes/table_holder.py
+++ b/packages/loomyard-router/src/loomyard_router/routes/route_table_holder.py
@@ -29,7 +29,7 @@
     data: bytes
 
 
-class TableHolder:
+class RouteTableHolder:
     """Holds the newest version received from any source; an older one never replaces it."""
 
     def __init__(self, decode: Decoder) -> None:
--- a/packages/loomyard-router/src/loomyard_router/routes/service_terms.py
+++ b/packages/loomyard-router/src/loomyard_router/routes/service_config.py
@@ -6,7 +6,7 @@
 
 
 @frozen(kw_only=True)
-class EngineTerms:
+class EngineConfig:
     """Capacity of each engine of a service: concurrent requests, and tokens in its KV cache."""
 
     slots: int
@@ -14,7 +14,7 @@
 
 
 @frozen(kw_only=True)
-class ServiceTerms:
+class ServiceConfig:
     """A service; ``engine`` is ``None`` for a plain service.
 
     For ``cold_seconds`` after its start a target is cold and gets at most ``cold_per_second``
@@ -25,6 +25,6 @@
     name: str
     health_path: str = ""
     max_connections: int = 0
-    engine: EngineTerms | None = None
+    engine: EngineConfig | None = None
     cold_seconds: float = 0.0
     cold_per_second: float = 0.0
--- a/packages/loomyard-router/src/loomyard_router/routes/service_share.py
+++ b/packages/loomyard-router/src/loomyard_router/routes/weighted_service.py
@@ -6,7 +6,7 @@
 
 
 @frozen(kw_only=True)
-class ServiceShare:
+class WeightedService:
     """A service that gets requests of a route in proportion to its weight."""
 
     service: str
--- a/packages/loomyard-router/src/loomyard_router/targets/cache_follower.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/cache_follower.py
@@ -10,8 +10,8 @@
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
+    from loomyard.external.engine import Engine
     from loomyard.objects import Target
-    from loomyard.outside.engine import Engine
     from loomyard_router.targets.prefix_index import PrefixIndex
 
 POLL_SECONDS = 2.0
--- a/packages/loomyard-router/src/loomyard_router/targets/http_connections.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/http_connections.py
@@ -8,7 +8,7 @@
 from gevent.socket import IPPROTO_TCP, TCP_NODELAY
 from geventhttpclient.connectionpool import ConnectionPool, SSLConnectionPool
 
-from loomyard.util.tcp import send_at_once
+from loomyard.util.tcp import set_connection_options
 
 if TYPE_CHECKING:
     from gevent.socket import socket
@@ -83,5 +83,5 @@
         connection_timeout=CONNECT_TIMEOUT,
         network_timeout=ANSWER_TIMEOUT,
     )
-    send_at_once(pool)
+    set_connection_options(pool)
     return pool
--- a/packages/loomyard-router/src/loomyard_router/targets/http_engine.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/http_engine.py
@@ -21,7 +21,7 @@
 
 from loomyard.codec import CODEC
 from loomyard.errors import Executed, Fault, ResultCode
-from loomyard.outside.engine import CacheEvent, EngineOrder, LoadReport, TargetCall
+from loomyard.external.engine import CacheEvent, EngineOrder, LoadReport, TargetCall
 from loomyard_router.targets.http_answer import ATTEMPT_HEADER, HttpAnswer, read_response
 from loomyard_router.targets.http_connections import ConnectionPools
 
@@ -29,7 +29,7 @@
     from geventhttpclient.connectionpool import ConnectionPool
 
     from loomyard.clock import Clock
-    from loomyard.outside.engine import TargetAnswer
+    from loomyard.external.engine import TargetAnswer
 
 CONTROL_TIMEOUT = 2.0
 STALL_TIMEOUT = 30.0
--- a/packages/loomyard-router/src/loomyard_router/targets/known_targets.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/known_targets.py
@@ -28,8 +28,8 @@
     from collections.abc import Callable
 
     from loomyard.clock import Clock
-    from loomyard.outside.engine import Engine, LoadReport
-    from loomyard.outside.vm_list import Vm
+    from loomyard.external.engine import Engine, LoadReport
+    from loomyard.external.vm_list import Vm
     from loomyard.routing import Routing
     from loomyard_router.members.membership import Membership
     from loomyard_router.peers.links import PeerLinks
--- a/packages/loomyard-router/src/loomyard_router/targets/leaving_vms.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/leaving_vms.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING
 
-from loomyard.outside.vm_list import VmState
+from loomyard.external.vm_list import VmState
 
 if TYPE_CHECKING:
-    from loomyard.outside.vm_list import Vm
+    from loomyard.external.vm_list import Vm
     from loomyard_router.targets.leaving_ledger import LeavingLedger
 
 
--- a/packages/loomyard-router/src/loomyard_router/targets/load_poller.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/load_poller.py
@@ -16,8 +16,8 @@
 
     from loomyard.clock import Clock
     from loomyard.errors import Fault
+    from loomyard.external.engine import Engine, LoadReport
     from loomyard.objects import Target
-    from loomyard.outside.engine import Engine, LoadReport
     from loomyard_router.members.membership import Membership
 
     HandleReport = Callable[[Target, Result[LoadReport, Fault]], None]
--- a/packages/loomyard-router/src/loomyard_router/targets/loaded_service_tracker.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/loaded_service_tracker.py
@@ -10,8 +10,8 @@
     from collections.abc import Callable
 
     from loomyard.clock import Clock
+    from loomyard.external.engine import LoadReport
     from loomyard.objects import Target
-    from loomyard.outside.engine import LoadReport
     from loomyard_router.targets.gossip import Gossip
 
 LOADED_TOPIC = "targets.loaded"
--- a/packages/loomyard-router/src/loomyard_router/targets/prefix_index.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/prefix_index.py
@@ -10,7 +10,7 @@
     from collections.abc import Iterable
 
     from loomyard.clock import Clock
-    from loomyard.outside.engine import CacheEvent
+    from loomyard.external.engine import CacheEvent
 
 MAX_ENTRIES = 60_000
 MAX_ENTRIES_PER_TARGET = 1024
--- a/packages/loomyard-router/src/loomyard_router/targets/slot_estimate.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/slot_estimate.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from loomyard.outside.engine import LoadReport
+    from loomyard.external.engine import LoadReport
 
 MAX_SLOTS = 4096
 # Limit of the estimate, as a multiple of the configured slots.
--- a/packages/loomyard-router/src/loomyard_router/targets/slot_estimates.py
+++ b/packages/loomyard-router/src/loomyard_router/targets/slot_estimates.py
@@ -15,8 +15,8 @@
     from collections.abc import Callable
 
     from loomyard.clock import Clock
+    from loomyard.external.engine import LoadReport
     from loomyard.objects import Target
-    from loomyard.outside.engine import LoadReport
     from loomyard_router.members.membership import Member, Membership
     from loomyard_router.peers.links import PeerLinks
 
--- a/packages/loomyard-standins/src/loomyard_standins/benches/bench_fleet.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/bench_fleet.py
@@ -12,6 +12,7 @@
 
 from loomyard.codec import encode
 from loomyard.configuration import Change, Put
+from loomyard.external.vm_list import Vm
 from loomyard.objects import (
     ClientAccount,
     ConfigObject,
@@ -21,7 +22,6 @@
     ServiceType,
     Target,
 )
-from loomyard.outside.vm_list import Vm
 from loomyard_router.callers.keys import digest_key
 from loomyard_router.configuration.follower import CONFIG_STREAM
 from loomyard_standins.benches.child import Child
--- a/packages/loomyard-standins/src/loomyard_standins/benches/claims.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/claims.py
@@ -25,7 +25,7 @@
 from result import Ok  # noqa: E402
 
 from loomyard.clock import SystemClock  # noqa: E402
-from loomyard_router.claims.keeper import Claim, ClaimKey, RecordedOutcome  # noqa: E402
+from loomyard_router.claims.claim_coordinator import Claim, ClaimKey, RecordedOutcome  # noqa: E402
 from loomyard_router.claims.log_claims import LogClaims, make_log_claims  # noqa: E402
 from loomyard_router.members.membership import Member  # noqa: E402
 from loomyard_standins.log_service import MemoryLog  # noqa: E402
--- a/packages/loomyard-standins/src/loomyard_standins/benches/configuration.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/configuration.py
@@ -28,9 +28,9 @@
     pack,
     unpack,
 )
+from loomyard.external.http_log import connect_log  # noqa: E402
+from loomyard.external.log_service import LogRecord  # noqa: E402
 from loomyard.objects import ClientAccount, Metadata  # noqa: E402
-from loomyard.outside.http_log import connect_log  # noqa: E402
-from loomyard.outside.log_service import LogRecord  # noqa: E402
 from loomyard_router.configuration.follower import ConfigFollower  # noqa: E402
 from loomyard_router.configuration.replica import ConfigReplica  # noqa: E402
 from loomyard_standins.benches.slopes.usage import resident_bytes  # noqa: E402
--- a/packages/loomyard-standins/src/loomyard_standins/benches/counting_log.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/counting_log.py
@@ -8,7 +8,7 @@
     from result import Result
 
     from loomyard.errors import Fault
-    from loomyard.outside.log_service import LogBatch, LogService
+    from loomyard.external.log_service import LogBatch, LogService
 
 
 class CountingLog:
--- a/packages/loomyard-standins/src/loomyard_standins/benches/delayed_engine.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/delayed_engine.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from loomyard.errors import Fault
-    from loomyard.outside.engine import (
+    from loomyard.external.engine import (
         CacheEvent,
         Engine,
         EngineOrder,
--- a/packages/loomyard-standins/src/loomyard_standins/benches/locality.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/locality.py
@@ -19,9 +19,9 @@
 
 from loomyard.clock import SystemClock  # noqa: E402
 from loomyard.configuration import Change, ConfigState, Put, fold  # noqa: E402
+from loomyard.external.engine import Engine, TargetCall  # noqa: E402
 from loomyard.objects import Metadata, Service, Target  # noqa: E402
-from loomyard.outside.engine import Engine, TargetCall  # noqa: E402
-from loomyard.prefixes import prefix_of  # noqa: E402
+from loomyard.prompt_prefixes import prompt_prefix_digest  # noqa: E402
 from loomyard.routing import Routing  # noqa: E402
 from loomyard_router.members.membership import Member, SoleMembership  # noqa: E402
 from loomyard_router.peers.no_peers import NoPeers  # noqa: E402
@@ -92,7 +92,7 @@
     def request(self, number: int, router: KnownTargets, prompt: str, tokens: int) -> None:
         """Choose a target with a free slot, send and wait for the answer."""
         document = {"model": SERVICE, "prompt": prompt, "max_tokens": tokens}
-        prefix = prefix_of(document)
+        prefix = prompt_prefix_digest(document)
         started = time.monotonic()
         target = self._take_slot(router, prefix if self.mode.locality else "")
         self.waits.record_value(_milliseconds(started))
--- a/packages/loomyard-standins/src/loomyard_standins/benches/orders.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/orders.py
@@ -21,7 +21,7 @@
 from loomyard_standins.fleet import StandinFleet, sample_key, start_fleet  # noqa: E402
 
 if TYPE_CHECKING:
-    from loomyard.outside.engine import EngineOrder
+    from loomyard.external.engine import EngineOrder
     from loomyard_router.application import Application
 
 LIMIT_SECONDS = 45.0
@@ -73,8 +73,8 @@
 
 
 def _find_keeper(fleet: StandinFleet) -> Application:
-    name = find_allocator(fleet.routers[0].parts.members)
-    keeper = next(r for r in fleet.routers if r.parts.members.own.name == name)
+    name = find_allocator(fleet.routers[0].components.members)
+    keeper = next(r for r in fleet.routers if r.components.members.own.name == name)
     fleet.routers.remove(keeper)
     return keeper
 
--- a/packages/loomyard-standins/src/loomyard_standins/benches/peer_network.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/peer_network.py
@@ -11,14 +11,14 @@
 from loomyard_standins.benches.places import ONE_WAY_SECONDS
 
 if TYPE_CHECKING:
+    from loomyard_router.components import RouterComponents
     from loomyard_router.members.membership import Membership
-    from loomyard_router.parts import Parts
 
 
 class PeerNetwork:
     """Stand between a router and its peers; what is cut vanishes without a word."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: RouterComponents) -> None:
         self._members: Membership = parts.members
         self._cut_names: set[str] = set()
         self._cut_addresses: set[str] = set()
--- a/packages/loomyard-standins/src/loomyard_standins/benches/router_process.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/router_process.py
@@ -48,7 +48,7 @@
     announce(
         port=application.port,
         status_port=status.server_port,
-        peer_address=application.parts.members.own.address,
+        peer_address=application.components.members.own.address,
     )
     gevent.sleep(FOREVER)
     return 0
@@ -58,7 +58,7 @@
     """What the bench reads of a router, and the cuts that it makes."""
 
     def __init__(self, application: Application, log: CountingLog) -> None:
-        self._parts = application.parts
+        self._parts = application.components
         self._log = log
         self._moves = SlotMoves(self._parts.policy)
         self._network = PeerNetwork(self._parts)
--- a/packages/loomyard-standins/src/loomyard_standins/benches/slopes/claims_probe.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slopes/claims_probe.py
@@ -4,7 +4,7 @@
 
 from attrs import frozen
 
-from loomyard_router.claims.keeper import RecordedOutcome
+from loomyard_router.claims.claim_coordinator import RecordedOutcome
 from loomyard_router.claims.partition_state import PartitionState
 from loomyard_router.claims.records import Begun, ClaimBatch, Finished
 from loomyard_router.peers.compact_codec import pack, unpack
--- a/packages/loomyard-standins/src/loomyard_standins/benches/slots.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slots.py
@@ -17,8 +17,8 @@
 
 from loomyard.clock import SystemClock  # noqa: E402
 from loomyard.configuration import Change, ConfigState, Put, fold  # noqa: E402
+from loomyard.external.engine import Engine, TargetCall  # noqa: E402
 from loomyard.objects import Metadata, Service, Target  # noqa: E402
-from loomyard.outside.engine import Engine, TargetCall  # noqa: E402
 from loomyard.routing import Routing  # noqa: E402
 from loomyard_router.members.membership import Member, SoleMembership  # noqa: E402
 from loomyard_router.peers.no_peers import NoPeers  # noqa: E402
--- a/packages/loomyard-standins/src/loomyard_standins/demo.py
+++ b/packages/loomyard-standins/src/loomyard_standins/demo.py
@@ -65,7 +65,9 @@
     receipts = Tally()
     meter = UtilisationMeter(fleet.engines, ENGINE_SLOTS * len(fleet.engines))
     appends = fleet.log.log.appends
-    sent = [(r.parts.traffic.sent_bytes, r.parts.traffic.sent_messages) for r in fleet.routers]
+    sent = [
+        (r.components.traffic.sent_bytes, r.components.traffic.sent_messages) for r in fleet.routers
+    ]
     _call(fleet, tallies, receipts, until=time.monotonic() + SECONDS)
     utilisation = meter.stop()
     print(f"{'account':12} {'weight':>6} {'answers':>8} {'tokens':>8} {'share':>6} {'p50 ms':>7}"
@@ -79,9 +81,9 @@
     )
     print(f"utilisation of the engines: {utilisation:.1%}")
     for router, (sent_bytes, sent_messages) in zip(fleet.routers, sent, strict=True):
-        traffic = router.parts.traffic
+        traffic = router.components.traffic
         print(
-            f"control sent by {router.parts.members.own.name}:"
+            f"control sent by {router.components.members.own.name}:"
             f" {(traffic.sent_bytes - sent_bytes) / SECONDS:.0f} bytes/s,"
             f" {(traffic.sent_messages - sent_messages) / SECONDS:.1f} messages/s"
         )
--- a/packages/loomyard-standins/src/loomyard_standins/engine.py
+++ b/packages/loomyard-standins/src/loomyard_standins/engine.py
@@ -14,8 +14,8 @@
 from gevent.lock import BoundedSemaphore
 
 from loomyard.codec import CODEC
-from loomyard.outside.engine import EngineOrder
-from loomyard.prefixes import prefix_of
+from loomyard.external.engine import EngineOrder
+from loomyard.prompt_prefixes import prompt_prefix_digest
 from loomyard_standins.engine_cache import CAPACITY, PrefixCache
 from loomyard_standins.engine_orders import OrderBook
 from loomyard_standins.served_standin import LOOPBACK, ServedStandin
@@ -132,7 +132,7 @@
         self.streams[attempt] = stream
         while len(self.streams) > KEPT_STREAMS:
             self.streams.popitem(last=False)
-        hit = self.cache.touch(prefix_of(body))
+        hit = self.cache.touch(prompt_prefix_digest(body))
         prefill = self.prefill_seconds * (HIT_PART if hit else 1.0)
         gevent.spawn(self._generate, stream, chat, prefill)
         if body.get("stream"):
--- a/packages/loomyard-standins/src/loomyard_standins/engine_cache.py
+++ b/packages/loomyard-standins/src/loomyard_standins/engine_cache.py
@@ -4,7 +4,7 @@
 
 from collections import OrderedDict, deque
 
-from loomyard.outside.engine import CacheEvent
+from loomyard.external.engine import CacheEvent
 
 CAPACITY = 64
 KEPT_EVENTS = 512
--- a/packages/loomyard-standins/src/loomyard_standins/engine_orders.py
+++ b/packages/loomyard-standins/src/loomyard_standins/engine_orders.py
@@ -5,7 +5,7 @@
 import gevent
 from attrs import define, field
 
-from loomyard.outside.engine import EngineOrder
+from loomyard.external.engine import EngineOrder
 
 
 @define(eq=False)
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_engine.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_engine.py
@@ -8,7 +8,7 @@
     from result import Result
 
     from loomyard.errors import Fault
-    from loomyard.outside.engine import CacheEvent, EngineOrder, LoadReport, TargetCall
+    from loomyard.external.engine import CacheEvent, EngineOrder, LoadReport, TargetCall
     from loomyard_standins.faults.fake_answer import FakeAnswer
     from loomyard_standins.faults.fake_target import FakeTarget
 
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_fleet.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_fleet.py
@@ -13,7 +13,7 @@
 
 from loomyard_router import application as application_module
 from loomyard_router.application import make_application
-from loomyard_router.parts import Platform
+from loomyard_router.components import Platform
 from loomyard_router.settings import Settings
 from loomyard_standins.fake_clock import FakeClock
 from loomyard_standins.faults.answer_fault import AnswerFault
@@ -47,7 +47,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection
 
-    from loomyard.outside.engine import Engine
+    from loomyard.external.engine import Engine
 
     App = Callable[..., Any]
 
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_publisher.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_publisher.py
@@ -54,7 +54,7 @@
 
     def replace(self, item: ConfigObject) -> bool:
         """Append a change of an object that is configured."""
-        follower = next(iter(self._routers.values())).application.parts.follower
+        follower = next(iter(self._routers.values())).application.components.follower
         based_on = follower.state.get(ref_of(item)).version
         return self._append([Put(object=item, based_on=based_on)])
 
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_target.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_target.py
@@ -9,7 +9,7 @@
 from result import Err, Ok, Result
 
 from loomyard.errors import Executed, Fault, ResultCode
-from loomyard.outside.engine import CacheEvent, EngineOrder, LoadReport, TargetCall
+from loomyard.external.engine import CacheEvent, EngineOrder, LoadReport, TargetCall
 from loomyard_standins.faults.answer_fault import AnswerFault
 from loomyard_standins.faults.fake_answer import FakeAnswer
 from loomyard_standins.faults.generated import generate, generate_plain
--- a/packages/loomyard-standins/src/loomyard_standins/faults/generated.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/generated.py
@@ -8,7 +8,7 @@
 from attrs import frozen
 
 if TYPE_CHECKING:
-    from loomyard.outside.engine import TargetCall
+    from loomyard.external.engine import TargetCall
 
 DEFAULT_TOKENS = 6
 
--- a/packages/loomyard-standins/src/loomyard_standins/faults/planted_bugs.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/planted_bugs.py
@@ -14,7 +14,7 @@
     from result import Result
 
     from loomyard.errors import Fault
-    from loomyard.outside.engine import Engine, TargetAnswer, TargetCall
+    from loomyard.external.engine import Engine, TargetAnswer, TargetCall
 
 
 class BuggyEngine:
--- a/packages/loomyard-standins/src/loomyard_standins/faults/pointed_platform.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/pointed_platform.py
@@ -15,9 +15,9 @@
     from collections.abc import Callable
 
     from loomyard.clock import Clock
-    from loomyard.outside.engine import Engine, EngineOrder, TargetAnswer, TargetCall
-    from loomyard.outside.log_service import LogBatch, LogService
-    from loomyard.outside.vm_list import Vm, VmList
+    from loomyard.external.engine import Engine, EngineOrder, TargetAnswer, TargetCall
+    from loomyard.external.log_service import LogBatch, LogService
+    from loomyard.external.vm_list import Vm, VmList
     from loomyard_router.members.membership import Member, Membership
     from loomyard_router.peers.links import PeerLinks
     from loomyard_standins.faults.fault_points import FaultPoints
--- a/packages/loomyard-standins/src/loomyard_standins/fleet.py
+++ b/packages/loomyard-standins/src/loomyard_standins/fleet.py
@@ -9,6 +9,7 @@
 
 from loomyard.codec import encode
 from loomyard.configuration import ABSENT, Change, Put, Verdict
+from loomyard.external.vm_list import Vm
 from loomyard.objects import (
     ClientAccount,
     ConfigObject,
@@ -20,7 +21,6 @@
     Target,
     ref_of,
 )
-from loomyard.outside.vm_list import Vm
 from loomyard_router.application import Application, make_application
 from loomyard_router.callers.keys import digest_key
 from loomyard_router.configuration.follower import CONFIG_STREAM
@@ -56,7 +56,7 @@
 
     def publish(self, objects: list[ConfigObject]) -> None:
         """Append changes and wait until they are in force on every router."""
-        state = self.routers[0].parts.follower.state
+        state = self.routers[0].components.follower.state
         found = [state.get(ref_of(item)) for item in objects]
         puts = [
             Put(object=item, based_on=ABSENT if before is None else before.version)
@@ -68,7 +68,7 @@
     def _publish(self, puts: list[Put]) -> None:
         change = Change(change_id=secrets.token_hex(8), puts=puts)
         offset = self.log.log.append(CONFIG_STREAM, encode(change)).unwrap()
-        followers = [router.parts.follower for router in self.routers]
+        followers = [router.components.follower for router in self.routers]
         while any(follower.state.applied < offset for follower in followers):
             gevent.sleep(0.01)
         settled = followers[0].replica.settled(change.change_id)
@@ -77,19 +77,19 @@
 
     def list_vm(self, router: Application) -> None:
         """Put the VM of a router on the VM list."""
-        own = router.parts.members.own
+        own = router.components.members.own
         vm = Vm(name=own.name, data_centre=own.data_centre, address=own.address)
         self.vms.vm_list.vms.append(vm)
         self.vms.vm_list.publish()
 
     def await_members(self) -> None:
         """Wait until every router knows all."""
-        while any(len(r.parts.members.live()) < len(self.routers) for r in self.routers):
+        while any(len(r.components.members.live()) < len(self.routers) for r in self.routers):
             gevent.sleep(0.01)
 
     def await_claims(self) -> None:
         """Wait until every router can order claims."""
-        while not all(router.parts.claims.ready for router in self.routers):
+        while not all(router.components.claims.ready for router in self.routers):
             gevent.sleep(0.01)
 
     def stop(self) -> None:
@@ -122,7 +122,7 @@
             operator_listen="127.0.0.1:0",
             operator_keys=(digest_key(OPERATOR_KEY),),
             peer_listen="127.0.0.1:0",
-            peers=tuple(router.parts.members.own.address for router in fleet.routers[:1]),
+            peers=tuple(router.components.members.own.address for router in fleet.routers[:1]),
             fleet_secret=(FLEET_SECRET,),
             vm_list=fleet.vms.address,
         )
--- a/packages/loomyard-standins/src/loomyard_standins/log_service.py
+++ b/packages/loomyard-standins/src/loomyard_standins/log_service.py
@@ -12,7 +12,7 @@
 
 from loomyard.codec import encode
 from loomyard.errors import Executed, Fault, ResultCode
-from loomyard.outside.log_service import LogBatch, LogRecord
+from loomyard.external.log_service import LogBatch, LogRecord
 from loomyard_standins.served_standin import LOOPBACK, ServedStandin
 
 if TYPE_CHECKING:
--- a/packages/loomyard-standins/src/loomyard_standins/memory_engines.py
+++ b/packages/loomyard-standins/src/loomyard_standins/memory_engines.py
@@ -8,14 +8,14 @@
 from result import Err, Ok, Result
 
 from loomyard.errors import Executed, Fault, ResultCode
-from loomyard.outside.engine import CacheEvent, EngineOrder, LoadReport
+from loomyard.external.engine import CacheEvent, EngineOrder, LoadReport
 from loomyard_standins.engine_cache import PrefixCache
 from loomyard_standins.engine_orders import OrderBook
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from loomyard.outside.engine import TargetAnswer, TargetCall
+    from loomyard.external.engine import TargetAnswer, TargetCall
 
 
 @define(eq=False)
--- a/packages/loomyard-standins/src/loomyard_standins/vm_list.py
+++ b/packages/loomyard-standins/src/loomyard_standins/vm_list.py
@@ -9,7 +9,7 @@
 
 from loomyard.codec import CODEC
 from loomyard.errors import Fault, ResultCode
-from loomyard.outside.vm_list import Vm
+from loomyard.external.vm_list import Vm
 from loomyard_standins.served_standin import LOOPBACK, ServedStandin
 
 if TYPE_CHECKING:
--- a/packages/loomyard/src/loomyard/bounded_log.py
+++ b/packages/loomyard/src/loomyard/bounded_log.py
@@ -92,7 +92,7 @@
         self._lines.append(line)
         self._has_lines.set()
 
-    def flush_now(self, deadline: float) -> None:
+    def flush_until(self, deadline: float) -> None:
         """Wait until all queued lines are written or the monotonic clock reaches the deadline."""
         while self._lines and self._clock.now() < deadline:
             gevent.sleep(0.005)
--- a/packages/loomyard/src/loomyard/codec.py
+++ b/packages/loomyard/src/loomyard/codec.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from loomyard.objects import KINDS, ClientAccount, ConfigObject, Route, Service, Target
-from loomyard.plain_cbor import load_plain
+from loomyard.untagged_cbor import load_untagged
 from loomyard.validation_errors import error_lines
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
 def decode(data: bytes, kind: type[T]) -> Result[T, str]:
     """Decode CBOR into a value of type ``kind``; the error text lists every fault."""
     try:
-        return Ok(CODEC.structure(load_plain(data), kind))
+        return Ok(CODEC.structure(load_untagged(data), kind))
     except BaseValidationError as error:
         return Err("; ".join(error_lines(error)))
     except Exception as error:  # cbor2 and hooks raise many types on hostile bytes
--- a/packages/loomyard/src/loomyard/configuration/assembly.py
+++ b/packages/loomyard/src/loomyard/configuration/assembly.py
@@ -23,11 +23,11 @@
         key = (part.as_of, part.checksum, part.count)
         self._parts.setdefault(key, {}).setdefault(part.index, part)
 
-    def complete(self, *, least: int) -> list[tuple[SnapshotPart, ...]]:
+    def complete(self, *, min_offset: int) -> list[tuple[SnapshotPart, ...]]:
         """Return the complete snapshots as of log offset ``least`` or later, newest first."""
         found = [
             tuple(parts[index] for index in range(count))
             for (as_of, _, count), parts in self._parts.items()
-            if as_of >= least and len(parts) == count
+            if as_of >= min_offset and len(parts) == count
         ]
         return sorted(found, key=lambda parts: -parts[0].as_of)
--- a/packages/loomyard/src/loomyard/configuration/packing.py
+++ b/packages/loomyard/src/loomyard/configuration/packing.py
@@ -17,7 +17,7 @@
 from loomyard.configuration.snapshot import PART_BYTES, SnapshotNotice, SnapshotPart
 from loomyard.configuration.state import ConfigState, VersionedObject, make_state
 from loomyard.objects import ConfigObject
-from loomyard.plain_cbor import make_plain_decoder
+from loomyard.untagged_cbor import make_untagged_decoder
 from loomyard.util.collector import paused_collector
 from loomyard.validation_errors import error_lines
 
@@ -49,7 +49,7 @@
     )
 
 
-def make_notice(state: ConfigState, *, writer: str, written_at: float) -> SnapshotNotice:
+def make_snapshot_notice(state: ConfigState, *, writer: str, written_at: float) -> SnapshotNotice:
     """Make the record which states that all parts of a snapshot were appended."""
     return SnapshotNotice(
         snapshot_of=state.applied,
@@ -101,7 +101,7 @@
 def _decompress(data: bytes) -> Iterator[VersionedObject]:
     unpacked = zlib.decompressobj().decompress(data, MAX_UNPACKED_BYTES)
     stream = io.BytesIO(unpacked)
-    decoder = make_plain_decoder(stream)
+    decoder = make_untagged_decoder(stream)
     while stream.tell() < len(unpacked):
         for version, fields in decoder.decode():
             yield VersionedObject(CODEC.structure(fields, _OBJECT_KIND), version)
--- a/packages/loomyard/src/loomyard/outside/settled_append.py
+++ b/packages/loomyard/src/loomyard/external/confirmed_append.py
@@ -14,7 +14,7 @@
     from collections.abc import Callable
 
     from loomyard.clock import Clock
-    from loomyard.outside.log_service import LogService
+    from loomyard.external.log_service import LogService
 
 MIN_DELAY_SECONDS = 0.02
 MAX_DELAY_SECONDS = 1.0
@@ -23,7 +23,7 @@
 PAGE_RECORDS = 1000
 
 
-def append_settled(
+def append_confirmed(
     log: LogService,
     stream: str,
     payload: bytes,
--- a/packages/loomyard/src/loomyard/outside/http_log.py
+++ b/packages/loomyard/src/loomyard/external/http_log.py
@@ -8,18 +8,22 @@
 
 from loomyard.codec import decode
 from loomyard.errors import Executed, Fault, ResultCode
-from loomyard.outside.log_service import READ_ANSWER_SECONDS, READ_WAIT, LogBatch
+from loomyard.external.log_service import (
+    MAX_READ_WAIT_SECONDS,
+    READ_ANSWER_MARGIN_SECONDS,
+    LogBatch,
+)
 from loomyard.util.addresses import split_address
 from loomyard.util.tcp import make_http_client
 
 if TYPE_CHECKING:
     from geventhttpclient import HTTPClient
 
-    from loomyard.outside.log_service import LogService
+    from loomyard.external.log_service import LogService
 
 CONNECT_TIMEOUT = 1.0
 ANSWER_TIMEOUT = 5.0
-READ_TIMEOUT = READ_WAIT + READ_ANSWER_SECONDS
+READ_TIMEOUT_SECONDS = MAX_READ_WAIT_SECONDS + READ_ANSWER_MARGIN_SECONDS
 MAX_CONNECTIONS = 64
 HTTP_OK = 200
 HTTP_UNAVAILABLE = 503
@@ -31,7 +35,7 @@
     def __init__(self, host: str, port: int) -> None:
         # Long-poll reads must not occupy the connections of appends.
         self._append_client = _make_client(host, port, ANSWER_TIMEOUT)
-        self._read_client = _make_client(host, port, READ_TIMEOUT)
+        self._read_client = _make_client(host, port, READ_TIMEOUT_SECONDS)
 
     def append(self, stream: str, payload: bytes) -> Result[int, Fault]:
         """Append a record and return its offset."""
--- a/packages/loomyard/src/loomyard/outside/http_vm_list.py
+++ b/packages/loomyard/src/loomyard/external/http_vm_list.py
@@ -9,12 +9,12 @@
 
 from loomyard.codec import CODEC
 from loomyard.errors import Fault, ResultCode
-from loomyard.outside.vm_list import Vm
+from loomyard.external.vm_list import Vm
 from loomyard.util.addresses import split_address
 from loomyard.util.tcp import make_http_client
 
 if TYPE_CHECKING:
-    from loomyard.outside.vm_list import VmList
+    from loomyard.external.vm_list import VmList
 
 CONNECT_TIMEOUT = 1.0
 ANSWER_TIMEOUT = 5.0
--- a/packages/loomyard/src/loomyard/outside/http_weight_store.py
+++ b/packages/loomyard/src/loomyard/external/http_weight_store.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
-    from loomyard.outside.weight_store import WeightStore
+    from loomyard.external.weight_store import WeightStore
 
 CONNECT_TIMEOUT = 1.0
 ANSWER_TIMEOUT = 2.0
--- a/packages/loomyard/src/loomyard/outside/log_service.py
+++ b/packages/loomyard/src/loomyard/external/log_service.py
@@ -14,8 +14,8 @@
 # Maximum seconds of a long-poll read, and the margin for its answer. A read that is sent during an
 # outage of the log service may never be answered. The sum of both is the time until it fails, and
 # so the longest delay of a change after the outage: 5 s with a wait of 2 s and a timeout of 5 s.
-READ_WAIT = 1.0
-READ_ANSWER_SECONDS = 1.0
+MAX_READ_WAIT_SECONDS = 1.0
+READ_ANSWER_MARGIN_SECONDS = 1.0
 
 
 @frozen
--- a/packages/loomyard/src/loomyard/logs.py
+++ b/packages/loomyard/src/loomyard/logs.py
@@ -54,10 +54,10 @@
 
 def configure_logs(log_format: str, level: int = logging.INFO) -> None:
     """Log to standard error in ``TEXT`` or ``JSON`` format."""
-    use_handler(logging.StreamHandler(sys.stderr), log_format, level)
+    install_handler(logging.StreamHandler(sys.stderr), log_format, level)
 
 
-def use_handler(handler: logging.Handler, log_format: str, level: int = logging.INFO) -> None:
+def install_handler(handler: logging.Handler, log_format: str, level: int = logging.INFO) -> None:
     """Make a handler the only one of the root logger, with the formatter of ``log_format``."""
     # No format prints source lines, threads or processes, so the lookup of each is turned off.
     logging._srcfile = None
--- a/packages/loomyard/src/loomyard/prefixes.py
+++ b/packages/loomyard/src/loomyard/prompt_prefixes.py
@@ -10,7 +10,7 @@
 DIGEST_HEX_DIGITS = 16
 
 
-def prefix_of(document: dict[str, Any]) -> str:
+def prompt_prefix_digest(document: dict[str, Any]) -> str:
     """Return the digest of the first characters of the prompt as JSON text.
 
     Engines report cached prefixes by the same digest. No more of the prompt than needed is encoded.
--- a/packages/loomyard/src/loomyard/plain_cbor.py
+++ b/packages/loomyard/src/loomyard/untagged_cbor.py
@@ -27,12 +27,12 @@
         return 0
 
 
-def load_plain(data: bytes) -> Any:
+def load_untagged(data: bytes) -> Any:
     """Decode one CBOR item; on tags and malformed bytes raise an exception of any type."""
     return cbor2.loads(data, semantic_decoders=_REFUSED_TAGS)
 
 
-def make_plain_decoder(stream: BinaryIO) -> cbor2.CBORDecoder:
+def make_untagged_decoder(stream: BinaryIO) -> cbor2.CBORDecoder:
     """Make a decoder of consecutive CBOR items in a stream, which raises on tags."""
     return cbor2.CBORDecoder(stream, semantic_decoders=_REFUSED_TAGS)
 
--- a/packages/loomyard/src/loomyard/util/seconds.py
+++ b/packages/loomyard/src/loomyard/util/seconds.py
@@ -8,6 +8,6 @@
 _SECONDS = re.compile(r"[0-9]{1,9}(\.[0-9]{0,9})?")
 
 
-def read_seconds(text: str) -> float:
+def parse_seconds(text: str) -> float:
     """Parse a number of seconds; return 0 for other text, including dates (clocks may differ)."""
     return float(text) if _SECONDS.fullmatch(text.strip()) else 0.0
--- a/packages/loomyard/src/loomyard/util/tcp.py
+++ b/packages/loomyard/src/loomyard/util/tcp.py
@@ -31,34 +31,34 @@
 
     def init_socket(self) -> None:
         super().init_socket()
-        disable_delay(self.socket)
+        disable_nagle(self.socket)
 
 
 def make_http_client(host: str, port: int, **options: Any) -> HTTPClient:
     """Make an ``HTTPClient`` with TCP_NODELAY and keepalive; ``options`` are passed on to it."""
     client = HTTPClient(host, port, **options)
-    send_at_once(client._connection_pool)
+    set_connection_options(client._connection_pool)
     return client
 
 
-def send_at_once(pool: ConnectionPool) -> None:
+def set_connection_options(pool: ConnectionPool) -> None:
     """Set TCP_NODELAY and keepalive on every connection that a pool opens."""
     original = pool.after_connect
 
     def after_connect(sock: socket.socket) -> Any:
-        disable_delay(sock)
-        end_if_silent(sock)
+        disable_nagle(sock)
+        set_keepalive(sock)
         return original(sock)
 
     pool.after_connect = after_connect  # type: ignore[method-assign]
 
 
-def disable_delay(sock: Any) -> None:
+def disable_nagle(sock: Any) -> None:
     """Turn Nagle's algorithm off."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def end_if_silent(sock: Any) -> None:
+def set_keepalive(sock: Any) -> None:
     """Let the kernel close a connection whose peer does not respond any more."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MILLISECONDS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/tests/test_loomyard/test_http_vm_list.py
+++ b/tests/test_loomyard/test_http_vm_list.py
@@ -5,8 +5,8 @@
 import unittest
 
 from loomyard.errors import ResultCode
-from loomyard.outside.http_vm_list import connect_vm_list
-from loomyard.outside.vm_list import Vm, VmState
+from loomyard.external.http_vm_list import connect_vm_list
+from loomyard.external.vm_list import Vm, VmState
 from loomyard_standins.scripted_target import ScriptedTarget, answer_bytes
 from loomyard_standins.vm_list import MemoryVmList, VmListServer
 
--- a/tests/test_loomyard/test_plain_cbor.py
+++ b/tests/test_loomyard/test_plain_cbor.py
@@ -15,7 +15,7 @@
 from loomyard.configuration.packing import unpack as unpack_snapshot
 from loomyard.configuration.snapshot import SnapshotPart
 from loomyard.errors import Fault, ResultCode
-from loomyard.outside.log_service import LogBatch
+from loomyard.external.log_service import LogBatch
 from loomyard_router.peers.compact_codec import unpack
 from loomyard_router.peers.frames import FrameOpener, FrameSealer
 
--- a/tests/test_loomyard/test_settled_append.py
+++ b/tests/test_loomyard/test_settled_append.py
@@ -7,7 +7,7 @@
 import gevent
 
 from loomyard.errors import Executed, ResultCode
-from loomyard.outside.settled_append import append_settled
+from loomyard.external.confirmed_append import append_confirmed
 from loomyard_standins.fake_clock import FakeClock
 from loomyard_standins.log_service import MemoryLog
 
@@ -38,7 +38,7 @@
         self.log = MemoryLog()
 
     def append(self, log: MemoryLog, payload: bytes = b"mine", **options):
-        return append_settled(
+        return append_confirmed(
             log, STREAM, payload, "id", lambda data: data == payload, 5.0, self.clock, **options
         )
 
--- a/tests/test_loomyard/test_snapshots.py
+++ b/tests/test_loomyard/test_snapshots.py
@@ -59,7 +59,7 @@
         assembly = SnapshotAssembly()
         for part in parts:
             assembly.add(part)
-        return [found[0].as_of for found in assembly.complete(least=least)]
+        return [found[0].as_of for found in assembly.complete(min_offset=least)]
 
     def test_the_newest_complete_snapshot_comes_first(self) -> None:
         old, middle, new = (pack(state_of(count), part_bytes=64) for count in (5, 6, 7))
--- a/tests/test_loomyard_router/claims_fleet.py
+++ b/tests/test_loomyard_router/claims_fleet.py
@@ -9,7 +9,7 @@
 from result import Err, Ok
 
 from loomyard.errors import Fault, ResultCode
-from loomyard_router.claims.keeper import Claim, ClaimKey, RecordedOutcome
+from loomyard_router.claims.claim_coordinator import Claim, ClaimKey, RecordedOutcome
 from loomyard_router.claims.log_claims import LogClaims, make_log_claims
 from loomyard_router.members.membership import Member, MemberState
 from loomyard_standins.fake_clock import FakeClock
--- a/tests/test_loomyard_router/claims_interleaving.py
+++ b/tests/test_loomyard_router/claims_interleaving.py
@@ -8,7 +8,7 @@
 from result import Err, Ok
 
 from loomyard.errors import Executed, Fault, ResultCode
-from loomyard_router.claims.keeper import ClaimKey
+from loomyard_router.claims.claim_coordinator import ClaimKey
 from loomyard_router.claims.log_claims import make_log_claims
 from loomyard_router.members.membership import MemberState
 from test_loomyard_router.claims_fleet import ClaimsFleet, ClockedLog, key, settle
--- a/tests/test_loomyard_router/test_admission/slots_case.py
+++ b/tests/test_loomyard_router/test_admission/slots_case.py
@@ -22,10 +22,10 @@
 from loomyard_router.requests.caller_presence import CallerPresence
 from loomyard_router.routed.request_head import RequestHead
 from loomyard_router.routed.routed_request import RoutedRequest
-from loomyard_router.routes.account_terms import AccountTerms
+from loomyard_router.routes.account_config import AccountConfig
 from loomyard_router.routes.route_table import RouteTable, make_route_table
-from loomyard_router.routes.service_terms import EngineTerms, ServiceTerms
-from loomyard_router.routes.table_holder import TableHolder
+from loomyard_router.routes.route_table_holder import RouteTableHolder
+from loomyard_router.routes.service_config import EngineConfig, ServiceConfig
 from loomyard_standins.fake_clock import FakeClock
 from loomyard_standins.memory_network import MemoryNetwork
 from test_loomyard_router.test_routed.routed_case import route
@@ -38,9 +38,9 @@
 
 def make_table() -> RouteTable:
     """Return a configuration with one service of engines."""
-    terms = ServiceTerms(
+    terms = ServiceConfig(
         name="engine",
-        engine=EngineTerms(slots=SLOTS),
+        engine=EngineConfig(slots=SLOTS),
         cold_seconds=COLD_SECONDS,
         cold_per_second=COLD_PER_SECOND,
     )
@@ -120,7 +120,7 @@
 
     def __init__(self, engines: int, routers: int = 3, slots: int = SLOTS) -> None:
         self.clock = FakeClock()
-        self.holder = TableHolder(lambda _: Ok(make_table()))
+        self.holder = RouteTableHolder(lambda _: Ok(make_table()))
         self.holder.offer(b"", "store")
         self.rate = 0.0
         self.network = MemoryNetwork()
@@ -148,7 +148,7 @@
             head=RequestHead(**fields | head),  # type: ignore[arg-type]
             route=route(service="engine", objective=objective),
             service="engine",
-            account=AccountTerms(name=account),
+            account=AccountConfig(name=account),
             method="POST",
             path="/p/",
             body=b"",
--- a/tests/test_loomyard_router/test_announced/test_evacuated_data_centres.py
+++ b/tests/test_loomyard_router/test_announced/test_evacuated_data_centres.py
@@ -8,7 +8,7 @@
 from loomyard_router.announced.evacuated_data_centres import EvacuatedDataCentres
 from loomyard_router.announced.target_registry import TargetRegistry
 from loomyard_router.feeds.keyed_record import KeyedRecord
-from loomyard_router.platform.documents import find_emptied_data_centre
+from loomyard_router.platform.documents import find_evacuated_data_centre
 from loomyard_standins.fake_clock import FakeClock
 from loomyard_standins.memory_store import Outage
 from test_loomyard_router.test_feeds.feed_fleet import FeedFleet
@@ -34,7 +34,7 @@
             for name in ("north", "south")
         ]
         self.registry.replace_all(self.targets)
-        self.evacuated = EvacuatedDataCentres(find_emptied_data_centre)
+        self.evacuated = EvacuatedDataCentres(find_evacuated_data_centre)
         self.evacuated.subscribe(self.registry.set_evacuated)
 
     def usable(self) -> list[str]:
@@ -67,7 +67,7 @@
         self.assertFalse(self.registry.is_usable(self.targets[0]))
 
     def test_targets_in_grace_and_new_ones_in_the_data_centre_are_not_usable(self) -> None:
-        self.registry.note_store_lost()
+        self.registry.on_store_lost()
         self.registry.apply([], ["t-north"])
         self.assertEqual(2, len(self.usable()))
         self.evacuated.apply_records([record(1)])
--- a/tests/test_loomyard_router/test_announced/test_target_notices.py
+++ b/tests/test_loomyard_router/test_announced/test_target_notices.py
@@ -50,9 +50,9 @@
                 self.registry.apply([again], []),
             ),
             "store outage": lambda: (
-                self.registry.note_store_lost(),
+                self.registry.on_store_lost(),
                 self.registry.apply([], ["t"]),
-                self.registry.note_store_back(),
+                self.registry.on_store_recovered(),
             ),
         }
         for change, make in changes.items():
@@ -128,7 +128,7 @@
         self.assertEqual(["t", "u"], self.usable())
 
     def test_backoff_applies_to_a_target_in_grace(self) -> None:
-        self.registry.note_store_lost()
+        self.registry.on_store_lost()
         self.registry.apply([], ["t"])
         self.back_off(3.0)
         self.assertEqual(["u"], self.usable())
--- a/tests/test_loomyard_router/test_claim_records.py
+++ b/tests/test_loomyard_router/test_claim_records.py
@@ -10,7 +10,7 @@
 
 from attrs import evolve
 
-from loomyard_router.claims.keeper import RecordedOutcome
+from loomyard_router.claims.claim_coordinator import RecordedOutcome
 from loomyard_router.claims.key_state import Phase
 from loomyard_router.claims.keys import parse_issue_time
 from loomyard_router.claims.partition_state import MAX_APPEND_DELAY_SECONDS, PartitionState
--- a/tests/test_loomyard_router/test_claims.py
+++ b/tests/test_loomyard_router/test_claims.py
@@ -14,7 +14,7 @@
 from result import Err
 
 from loomyard.errors import Executed, Fault, ResultCode
-from loomyard_router.claims.keeper import RecordedOutcome
+from loomyard_router.claims.claim_coordinator import RecordedOutcome
 from loomyard_router.claims.keys import digest_key, partition_of
 from loomyard_router.claims.messages import BeginClaim
 from test_loomyard_router.claims_fleet import TIMEOUT, WINDOW, ClaimsFleet, key, settle
--- a/tests/test_loomyard_router/test_config_distribution.py
+++ b/tests/test_loomyard_router/test_config_distribution.py
@@ -25,8 +25,8 @@
     pack,
 )
 from loomyard.events import Event
+from loomyard.external.log_service import LogRecord
 from loomyard.objects import ClientAccount, Metadata, ObjectRef
-from loomyard.outside.log_service import LogRecord
 from loomyard_router.configuration.log_snapshots import LogSnapshots
 from loomyard_router.configuration.task_loop import FAILURE_PAUSE_SECONDS
 from loomyard_standins.config_fleet import RETENTION, ConfigFleet
--- a/tests/test_loomyard_router/test_config_messages.py
+++ b/tests/test_loomyard_router/test_config_messages.py
@@ -5,7 +5,7 @@
 import unittest
 
 from loomyard.configuration import SnapshotPart
-from loomyard.outside.log_service import LogBatch, LogRecord
+from loomyard.external.log_service import LogBatch, LogRecord
 from loomyard_router.configuration.messages import (
     PartAnswer,
     PartRequest,
--- a/tests/test_loomyard_router/test_config_outages.py
+++ b/tests/test_loomyard_router/test_config_outages.py
@@ -15,15 +15,15 @@
 from loomyard.codec import encode
 from loomyard.configuration import CONFIG_STREAM, Change, Put
 from loomyard.errors import Fault, ResultCode
+from loomyard.external.http_log import READ_TIMEOUT_SECONDS
+from loomyard.external.log_service import LogBatch, LogRecord
 from loomyard.objects import ClientAccount, Metadata
-from loomyard.outside.http_log import READ_TIMEOUT
-from loomyard.outside.log_service import LogBatch, LogRecord
 from loomyard_router.configuration.follower import ConfigFollower
 from loomyard_router.configuration.peer_configuration import PeerConfiguration
 from loomyard_standins.memory_datagrams import DatagramNetwork
 from loomyard_standins.memory_network import MemoryNetwork
 from loomyard_standins.stepped_clock import SteppedClock
-from test_loomyard_router.test_feeds.feed_fleet import SETTLED, make_members
+from test_loomyard_router.test_feeds.feed_fleet import SETTLE_SECONDS, make_members
 
 # Most seconds from the acknowledgement of a change after the outage until all have applied it.
 MAX_SECONDS = 2.5
@@ -51,7 +51,7 @@
                 break
             self._clock.sleep(POLL_SECONDS)
         if self.unresponsive:
-            self._clock.sleep(began + READ_TIMEOUT - self._clock.now())
+            self._clock.sleep(began + READ_TIMEOUT_SECONDS - self._clock.now())
             return Err(Fault(code=ResultCode.LOG_UNAVAILABLE, detail="timed out"))
         records = tuple(
             LogRecord(number, payload)
@@ -91,7 +91,7 @@
             for component in (members, follower, peers):
                 component.start()
                 self.components.append(component)
-        self.run(SETTLED)
+        self.run(SETTLE_SECONDS)
 
     def run(self, seconds: float) -> None:
         self.clock.run(self.clock.now() + seconds)
--- a/tests/test_loomyard_router/test_crashing/crash_fleet.py
+++ b/tests/test_loomyard_router/test_crashing/crash_fleet.py
@@ -51,7 +51,7 @@
             ledger=ledger,
             members=members,
             peers=peers,
-            source=random.Random(f"{self._seed} {name}"),
+            rng=random.Random(f"{self._seed} {name}"),
         )
         for router in self.routers.values():
             router.members.change(known)
--- a/tests/test_loomyard_router/test_crashing/routers_case.py
+++ b/tests/test_loomyard_router/test_crashing/routers_case.py
@@ -13,7 +13,7 @@
 
 from loomyard_router.routed_application import RoutedApplication
 from loomyard_router.routed_settings import RetryTerms, RoutedSettings
-from loomyard_router.routes.service_terms import EngineTerms, ServiceTerms
+from loomyard_router.routes.service_config import EngineConfig, ServiceConfig
 from test_loomyard_router.test_routed.routed_case import WAIT, RoutedCase, request_bytes
 from test_loomyard_router.test_routed.scripted_target import (
     Received,
@@ -29,7 +29,7 @@
 
 # A request whose body begins with this crashes its target.
 POISON_BODY = b"ends targets"
-ENGINES = ServiceTerms(name="engine", health_path="/health", engine=EngineTerms(slots=4))
+ENGINES = ServiceConfig(name="engine", health_path="/health", engine=EngineConfig(slots=4))
 # Number of running targets; a crashed one is replaced under a new id.
 TARGETS = 4
 # Time by which crash records have reached every connected router; users accept three seconds.
@@ -143,7 +143,7 @@
         """Publish a route and start targets for it."""
         for _ in range(TARGETS):
             self.add_target(service, streams=streams, behind_proxy=behind_proxy)
-        self.publish(served, services=[ServiceTerms(name="plain", health_path="/health"), ENGINES])
+        self.publish(served, services=[ServiceConfig(name="plain", health_path="/health"), ENGINES])
         self.until(lambda: all(router.ready for router in self.routers))
 
     def add_target(
--- a/tests/test_loomyard_router/test_crashing/test_liveness_probe.py
+++ b/tests/test_loomyard_router/test_crashing/test_liveness_probe.py
@@ -23,8 +23,8 @@
 from loomyard_router.platform.targets import PlatformTargets
 from loomyard_router.routed.connection_pool import ConnectionPool
 from loomyard_router.routes.route_table import make_route_table
-from loomyard_router.routes.service_terms import ServiceTerms
-from loomyard_router.routes.table_holder import TableHolder
+from loomyard_router.routes.route_table_holder import RouteTableHolder
+from loomyard_router.routes.service_config import ServiceConfig
 from loomyard_standins.fake_clock import FakeClock
 from test_loomyard_router.test_crashing.routers_case import health
 from test_loomyard_router.test_routed.scripted_target import Received, ScriptedTarget, refusal
@@ -42,12 +42,12 @@
     def setUp(self) -> None:
         for name in ("CONNECT_SECONDS", "ANSWER_SECONDS"):
             self.set(name, TIMEOUT)
-        holder = TableHolder(
+        holder = RouteTableHolder(
             lambda _: Ok(
                 make_route_table(
                     version=1,
                     routes=[],
-                    services=[ServiceTerms(name="plain", health_path="/health")],
+                    services=[ServiceConfig(name="plain", health_path="/health")],
                     accounts=None,
                 )
             )
--- a/tests/test_loomyard_router/test_feeds/feed_fleet.py
+++ b/tests/test_loomyard_router/test_feeds/feed_fleet.py
@@ -30,7 +30,7 @@
 # Seconds between reads that return records, as on the platform.
 MIN_READ_INTERVAL = 0.5
 # Seconds after the start until all routers know each other.
-SETTLED = 6.0
+SETTLE_SECONDS = 6.0
 
 
 def make_members(
@@ -108,7 +108,7 @@
         self.routers = {f"r{number}": self._make(number) for number in range(count)}
         for router in self.routers.values():
             router.start()
-        self.run(SETTLED)
+        self.run(SETTLE_SECONDS)
 
     @property
     def calls(self) -> int:
@@ -186,7 +186,7 @@
             members=members,
             peers=self.network.join(members.own),
             followers=followers.values(),
-            source=rng,
+            rng=rng,
         )
         self.router_made(name)
         return Router(members, exchange, followers, feeds, consumers)
--- a/tests/test_loomyard_router/test_feeds/rollback_fleet.py
+++ b/tests/test_loomyard_router/test_feeds/rollback_fleet.py
@@ -21,8 +21,8 @@
     make_unreadable_entry,
 )
 from loomyard_router.routes.route_table import RouteTable, make_route_table
-from loomyard_router.routes.table_feed import TableFeed
-from loomyard_router.routes.table_holder import TableHolder
+from loomyard_router.routes.route_table_consumer import RouteTableConsumer
+from loomyard_router.routes.route_table_holder import RouteTableHolder
 from test_loomyard_router.test_feeds.feed_fleet import FeedFleet
 
 if TYPE_CHECKING:
@@ -64,7 +64,7 @@
 class RouterState:
     """The configuration and targets of one router."""
 
-    holder: TableHolder
+    holder: RouteTableHolder
     evacuated: EvacuatedDataCentres
     registry: TargetRegistry
 
@@ -94,8 +94,8 @@
             registry = TargetRegistry(self.clock)
             evacuated = EvacuatedDataCentres(find_evacuated)
             evacuated.subscribe(registry.set_evacuated)
-            self._newest = RouterState(TableHolder(decode_table), evacuated, registry)
-            tables = TableFeed(self._newest.holder, KEY, UnreadableEntries())
+            self._newest = RouterState(RouteTableHolder(decode_table), evacuated, registry)
+            tables = RouteTableConsumer(self._newest.holder, KEY, UnreadableEntries())
             return FanOutConsumer((evacuated, tables))
         return TargetFeed(self._newest.registry, decode_target, UnreadableEntries())
 
--- a/tests/test_loomyard_router/test_feeds/test_feed_exchange.py
+++ b/tests/test_loomyard_router/test_feeds/test_feed_exchange.py
@@ -51,7 +51,7 @@
                 members=ManyMembers(member, members),
                 peers=self.network.join(member),
                 followers=[follower],
-                source=random.Random(1),
+                rng=random.Random(1),
             )
             exchange.start()
             self.addCleanup(exchange.stop)
@@ -127,7 +127,7 @@
                 members=self.members[n],
                 peers=network.join(members[n]),
                 followers=[self.followers[n]],
-                source=random.Random(1),
+                rng=random.Random(1),
             )
             for n in range(2)
         ]
@@ -190,7 +190,7 @@
                 members=ManyMembers(member, members) if member is not members[0] else view,
                 peers=network.join(member),
                 followers=[follower],
-                source=random.Random(1),
+                rng=random.Random(1),
             )
             exchange.start()
             self.addCleanup(exchange.stop)
--- a/tests/test_loomyard_router/test_feeds/test_feed_follower.py
+++ b/tests/test_loomyard_router/test_feeds/test_feed_follower.py
@@ -78,9 +78,9 @@
         ]
         pauses = [self.follower.step() for _ in range(9)]
         self.assertTrue(all(0 < pause <= MAX_RETRY_SECONDS for pause in pauses))
-        self.assertFalse(self.follower.answering)
+        self.assertFalse(self.follower.store_available)
         self.follower.step()
-        self.assertTrue(self.follower.answering)
+        self.assertTrue(self.follower.store_available)
         self.assertEqual(["lost", "regained"], self.consumer.calls[1:])
 
     def test_a_recovered_store_is_noticed_without_a_long_poll(self) -> None:
--- a/tests/test_loomyard_router/test_feeds/test_feed_observability.py
+++ b/tests/test_loomyard_router/test_feeds/test_feed_observability.py
@@ -16,8 +16,8 @@
 from loomyard_router.feeds.feed_position import FeedPosition
 from loomyard_router.feeds.peer_fetcher import OWN_READ_SECONDS
 from loomyard_router.members.membership import Member
-from loomyard_router.metrics.exposition import MetersCollector, expose
-from loomyard_router.metrics.meters import Meters
+from loomyard_router.metrics.exposition import RouterCollector, expose
+from loomyard_router.metrics.request_metrics import RequestMetrics
 from loomyard_router.peers.traffic import TrafficCounters
 from loomyard_standins.fake_clock import FakeClock
 from loomyard_standins.memory_network import MemoryNetwork
@@ -81,7 +81,7 @@
             members=members,
             peers=network.join(first),
             followers=[self.follower],
-            source=random.Random(1),
+            rng=random.Random(1),
         )
         exchange.start()
         self.addCleanup(exchange.stop)
@@ -91,7 +91,7 @@
             members=TwoMembers(second, first),
             peers=network.join(second),
             followers=[ahead],
-            source=random.Random(1),
+            rng=random.Random(1),
         )
         other.start()
         self.addCleanup(other.stop)
@@ -117,11 +117,11 @@
             members=TwoMembers(*[Member(name="a", incarnation=1, address="", data_centre="")] * 2),
             peers=MemoryNetwork().join(Member(name="a", incarnation=1, address="", data_centre="")),
             followers=[self.follower],
-            source=random.Random(1),
+            rng=random.Random(1),
         )
         self.clock.advance(4.0)
-        collector = MetersCollector(
-            Meters(self.clock), TrafficCounters(), lambda: 0, exchange.states
+        collector = RouterCollector(
+            RequestMetrics(self.clock), TrafficCounters(), lambda: 0, exchange.states
         )
         text = expose(collector).decode()
         self.assertIn('loomyard_feed_offset{feed="feed"} 1.0', text)
--- a/tests/test_loomyard_router/test_feeds/test_target_registry.py
+++ b/tests/test_loomyard_router/test_feeds/test_target_registry.py
@@ -5,7 +5,7 @@
 import unittest
 
 from loomyard_router.announced.announced_target import AnnouncedTarget
-from loomyard_router.announced.target_registry import RETURN_SECONDS, TargetRegistry
+from loomyard_router.announced.target_registry import GRACE_SECONDS, TargetRegistry
 from loomyard_standins.fake_clock import FakeClock
 
 
@@ -35,44 +35,44 @@
     def test_targets_that_expire_in_an_outage_are_used_until_the_store_recovered(
         self,
     ) -> None:
-        self.registry.note_store_lost()
+        self.registry.on_store_lost()
         self.registry.apply([], ["t0", "t1"])
         self.clock.advance(30.0)
         self.assertEqual(6, len(self.usable()))
-        self.registry.note_store_back()
+        self.registry.on_store_recovered()
         self.registry.apply([target(0)], [])
-        self.clock.advance(RETURN_SECONDS - 0.1)
+        self.clock.advance(GRACE_SECONDS - 0.1)
         self.assertEqual(6, len(self.usable()))
         self.clock.advance(0.2)
         self.assertEqual(["t0", "t2", "t3", "t4", "t5"], self.usable())
 
     def test_targets_that_expire_just_after_an_outage_are_used_for_a_grace(self) -> None:
-        self.registry.note_store_lost()
-        self.registry.note_store_back()
+        self.registry.on_store_lost()
+        self.registry.on_store_recovered()
         self.registry.apply([], ["t3"])
         self.assertIn("t3", self.usable())
-        self.clock.advance(RETURN_SECONDS + 0.1)
+        self.clock.advance(GRACE_SECONDS + 0.1)
         self.assertNotIn("t3", self.usable())
 
     def test_half_a_service_that_vanishes_at_once_is_used_for_a_grace(self) -> None:
         self.registry.apply([], ["t0", "t1", "t2"])
         self.assertEqual(6, len(self.usable()))
-        self.clock.advance(RETURN_SECONDS + 0.1)
+        self.clock.advance(GRACE_SECONDS + 0.1)
         self.assertEqual(["t3", "t4", "t5"], self.usable())
 
     def test_a_draining_target_that_vanishes_in_an_outage_is_not_used(self) -> None:
         self.registry.apply([target(4, draining=True)], [])
-        self.registry.note_store_lost()
+        self.registry.on_store_lost()
         self.registry.apply([], ["t4"])
         self.assertNotIn("t4", self.usable())
 
     def test_a_listing_of_a_peer_removes_targets_during_an_outage(self) -> None:
-        self.registry.note_store_lost()
+        self.registry.on_store_lost()
         self.registry.replace_all([target(n) for n in range(5)], by_peer=True)
         self.assertNotIn("t5", self.usable())
 
     def test_changes_of_a_peer_remove_targets_during_an_outage(self) -> None:
-        self.registry.note_store_lost()
+        self.registry.on_store_lost()
         self.registry.apply([], ["t5"], by_peer=True)
         self.assertNotIn("t5", self.usable())
 
--- a/tests/test_loomyard_router/test_fuzz.py
+++ b/tests/test_loomyard_router/test_fuzz.py
@@ -13,8 +13,8 @@
 
 from loomyard.codec import decode, encode
 from loomyard.configuration import Change
+from loomyard.external.log_service import LogBatch
 from loomyard.manifests import read_manifests
-from loomyard.outside.log_service import LogBatch
 from loomyard.selectors import parse_selector
 from loomyard_router.claims.records import ClaimBatch
 from loomyard_router.members.datagram_seal import DatagramSeal
--- a/tests/test_loomyard_router/test_members/test_swim.py
+++ b/tests/test_loomyard_router/test_members/test_swim.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from loomyard.outside.vm_list import Vm, VmState
+from loomyard.external.vm_list import Vm, VmState
 from loomyard_router.members.datagram_seal import DatagramSeal
 from loomyard_router.members.membership import Member, MemberState
 from loomyard_router.members.prober import GOSSIP_FANOUT
--- a/tests/test_loomyard_router/test_metrics.py
+++ b/tests/test_loomyard_router/test_metrics.py
@@ -7,9 +7,9 @@
 from geventhttpclient import HTTPClient
 
 from loomyard.errors import ResultCode
-from loomyard_router.metrics.exposition import MetersCollector, expose
-from loomyard_router.metrics.meters import IDLE_SECONDS, Meters
+from loomyard_router.metrics.exposition import RouterCollector, expose
 from loomyard_router.metrics.phase import Phase
+from loomyard_router.metrics.request_metrics import IDLE_SECONDS, RequestMetrics
 from loomyard_router.metrics.server import MetricsServer
 from loomyard_router.peers.traffic import TrafficCounters
 from loomyard_standins.fake_clock import FakeClock
@@ -18,7 +18,7 @@
 class MetersTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = FakeClock()
-        self.meters = Meters(self.clock, max_keys=2)
+        self.meters = RequestMetrics(self.clock, max_keys=2)
 
     def counts(self) -> dict[tuple[str, str], int]:
         return {
@@ -40,7 +40,7 @@
             self.meters.record("kiosk", "assistant", Phase.QUEUE, seconds)
         self.meters.count(ResultCode.QUEUE_FULL)
         self.meters.count(None)
-        collector = MetersCollector(self.meters, TrafficCounters(), lambda: 7)
+        collector = RouterCollector(self.meters, TrafficCounters(), lambda: 7)
         text = expose(collector).decode()
         key = 'account="kiosk",phase="queue"'
         self.assertIn(f'loomyard_request_phases_total{{{key},service="assistant"}} 4.0', text)
--- a/tests/test_loomyard_router/test_orders/orders_case.py
+++ b/tests/test_loomyard_router/test_orders/orders_case.py
@@ -18,7 +18,7 @@
 from loomyard_standins.weight_store import LimitedWeightStore
 
 if TYPE_CHECKING:
-    from loomyard.outside.engine import EngineOrder
+    from loomyard.external.engine import EngineOrder
 
 
 class Backlog(Counter):
--- a/tests/test_loomyard_router/test_orders/test_order_fencing.py
+++ b/tests/test_loomyard_router/test_orders/test_order_fencing.py
@@ -18,7 +18,7 @@
 from test_loomyard_router.test_orders.orders_case import OrdersCase
 
 if TYPE_CHECKING:
-    from loomyard.outside.engine import EngineOrder
+    from loomyard.external.engine import EngineOrder
 
 
 class FencingTest(OrdersCase):
--- a/tests/test_loomyard_router/test_own_time.py
+++ b/tests/test_loomyard_router/test_own_time.py
@@ -12,7 +12,7 @@
 
 from attrs import define, field
 
-from loomyard_router.own_time import MAX_EXTENSION_SECONDS, AnswerWait
+from loomyard_router.answer_wait import MAX_EXTENSION_SECONDS, AnswerWait
 from loomyard_standins.fake_clock import FakeClock
 
 REPLY_SECONDS = 0.06
@@ -47,11 +47,11 @@
     ) -> tuple[bool, int]:
         """Wait for an answer read after its deadline; return whether it came, and the passes."""
         wait = AnswerWait(self.clock, self.clock.now() + REPLY_SECONDS)
-        loop = LaggingLoop(self.clock, lags, read_in, lambda: wait.settle("answer"))
+        loop = LaggingLoop(self.clock, lags, read_in, lambda: wait.set_answer("answer"))
         wait.loop_pass = loop.run_pass
         if sent_after is not None:
             self.clock.advance(sent_after)
-            wait.note_sent()
+            wait.record_sent()
         self.clock.advance(REPLY_SECONDS)
         return wait.wait(), loop.passes
 
@@ -77,7 +77,7 @@
     def test_the_time_of_the_peer_starts_when_the_request_is_sent(self) -> None:
         wait = AnswerWait(self.clock, self.clock.now() + REPLY_SECONDS)
         self.clock.advance(0.05)
-        wait.note_sent()
+        wait.record_sent()
         self.assertAlmostEqual(0.05 + REPLY_SECONDS, wait._answer_due)
 
     def test_the_time_of_the_peer_does_not_start_before_the_request_is_sent(self) -> None:
--- a/tests/test_loomyard_router/test_peers/test_compact_codec.py
+++ b/tests/test_loomyard_router/test_peers/test_compact_codec.py
@@ -10,7 +10,7 @@
 import cbor2
 
 from loomyard.codec import decode
-from loomyard.outside.log_service import LogBatch
+from loomyard.external.log_service import LogBatch
 from loomyard_router.claims.messages import LookUp
 from loomyard_router.peers.compact_codec import pack, unpack
 from loomyard_router.peers.handshake import Hello, Identity
--- a/tests/test_loomyard_router/test_platform/test_documents.py
+++ b/tests/test_loomyard_router/test_platform/test_documents.py
@@ -47,7 +47,7 @@
         self.assertIs(RouteKind.STREAM, route.kind)
         self.assertTrue(route.repeatable)
         self.assertEqual((15.0, 0.4, 0.2), (route.timeout, route.objective, route.gap_objective))
-        self.assertEqual([90.0, 10.0], [share.weight for share in route.shares])
+        self.assertEqual([90.0, 10.0], [share.weight for share in route.weighted_services])
         engine = table.services["one"].engine
         assert engine is not None
         self.assertEqual((48, 986267), (engine.slots, engine.memory_tokens))
--- a/tests/test_loomyard_router/test_platform/test_malformed_entries.py
+++ b/tests/test_loomyard_router/test_platform/test_malformed_entries.py
@@ -21,8 +21,8 @@
 from loomyard_router.feeds.unreadable_entry import MAX_DETAIL_CHARS, UnreadableReason
 from loomyard_router.platform.documents import decode_configuration, decode_target
 from loomyard_router.platform.store_feed import _decode_batch
-from loomyard_router.routes.table_feed import TableFeed
-from loomyard_router.routes.table_holder import TableHolder
+from loomyard_router.routes.route_table_consumer import RouteTableConsumer
+from loomyard_router.routes.route_table_holder import RouteTableHolder
 from loomyard_standins.fake_clock import FakeClock
 from test_loomyard_router.test_platform.test_documents import document
 
@@ -143,9 +143,9 @@
 
 class MalformedConfigurationsTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.holder = TableHolder(decode_configuration)
+        self.holder = RouteTableHolder(decode_configuration)
         self.unreadable = UnreadableEntries()
-        self.feed = TableFeed(self.holder, "config", self.unreadable)
+        self.feed = RouteTableConsumer(self.holder, "config", self.unreadable)
 
     def test_the_last_readable_version_is_in_force(self) -> None:
         versions = [document(version=1), document(version=2), b"{", document(version="3")]
@@ -211,8 +211,8 @@
 
     def test_configurations(self) -> None:
         good = json.loads(document())
-        holder = TableHolder(decode_configuration)
-        feed = TableFeed(holder, "config", UnreadableEntries())
+        holder = RouteTableHolder(decode_configuration)
+        feed = RouteTableConsumer(holder, "config", UnreadableEntries())
         feed.apply_records([record(0, "config", document())])
         adopted = 0
         for offset in range(1, ROUNDS):
--- a/tests/test_loomyard_router/test_requests/serving_case.py
+++ b/tests/test_loomyard_router/test_requests/serving_case.py
@@ -12,9 +12,9 @@
 from loomyard.codec import encode
 from loomyard.configuration import Change, Put
 from loomyard.objects import ClientAccount, Metadata, Route, Service, ServiceType, Target
-from loomyard_router.claims.keeper import Claim, ClaimKey, RecordedOutcome
+from loomyard_router.claims.claim_coordinator import Claim, ClaimKey, RecordedOutcome
 from loomyard_router.configuration.follower import CONFIG_STREAM, ConfigFollower
-from loomyard_router.metrics.meters import Meters
+from loomyard_router.metrics.request_metrics import RequestMetrics
 from loomyard_router.peers.no_peers import NoPeers
 from loomyard_router.requests.estimates import CostEstimates
 from loomyard_router.requests.journal import Journal
@@ -102,7 +102,7 @@
         )
         return RequestPipeline(
             stream_resumer=resuming,
-            meters=Meters(self.clock),
+            meters=RequestMetrics(self.clock),
             clock=self.clock,
             follower=follower,
             policy=self.policy,
--- a/tests/test_loomyard_router/test_routed/routed_case.py
+++ b/tests/test_loomyard_router/test_routed/routed_case.py
@@ -20,17 +20,17 @@
 from loomyard_router.feeds.feed_position import FeedPosition
 from loomyard_router.feeds.keyed_record import KeyedRecord
 from loomyard_router.platform.callers import PlatformCallers
-from loomyard_router.platform.documents import find_emptied_data_centre
+from loomyard_router.platform.documents import find_evacuated_data_centre
 from loomyard_router.platform.targets import PlatformTargets
 from loomyard_router.routed_application import RoutedApplication, RoutedPlatform
 from loomyard_router.routed_settings import RetryTerms, RoutedSettings
-from loomyard_router.routes.account_terms import AccountTerms
+from loomyard_router.routes.account_config import AccountConfig
 from loomyard_router.routes.caller_limits import CallerLimits
 from loomyard_router.routes.kind import RouteKind
 from loomyard_router.routes.route import Route
 from loomyard_router.routes.route_table import RouteTable, make_route_table
-from loomyard_router.routes.service_share import ServiceShare
-from loomyard_router.routes.service_terms import EngineTerms, ServiceTerms
+from loomyard_router.routes.service_config import EngineConfig, ServiceConfig
+from loomyard_router.routes.weighted_service import WeightedService
 from test_loomyard_router.test_routed.scripted_target import Script, ScriptedTarget
 
 if TYPE_CHECKING:
@@ -120,7 +120,7 @@
             tables=self.tables,
             table_key="table",
             decode_table=lambda data: Ok(self.objects[int(data)]),
-            find_emptied_data_centre=find_emptied_data_centre,
+            find_evacuated_data_centre=find_evacuated_data_centre,
             targets=self.targets,
             decode_target=lambda _, data: Ok(self.objects[int(data)]),
             caller_codec=PlatformCallers(),
@@ -131,14 +131,14 @@
     def publish(self, *routes: Route, version: int = 1, **changes: object) -> None:
         """Put a configuration in force."""
         services = [
-            ServiceTerms(name="engine", engine=EngineTerms(slots=4)),
-            ServiceTerms(name="plain"),
+            ServiceConfig(name="engine", engine=EngineConfig(slots=4)),
+            ServiceConfig(name="plain"),
         ]
         fields = {
             "version": version,
             "routes": routes,
             "services": services,
-            "accounts": [AccountTerms(name="north", keys=("key-n",))],
+            "accounts": [AccountConfig(name="north", keys=("key-n",))],
             "limits": CallerLimits(),
         }
         table = make_route_table(**fields | changes)
@@ -209,7 +209,7 @@
         "host": "a.example",
         "prefix": prefix,
         "kind": RouteKind.NON_IDEMPOTENT,
-        "shares": (ServiceShare(service=service),),
+        "weighted_services": (WeightedService(service=service),),
         "timeout": 5.0,
         "objective": 0.4,
         "max_attempts": 2,
--- a/tests/test_loomyard_router/test_routed/test_body_budget.py
+++ b/tests/test_loomyard_router/test_routed/test_body_budget.py
@@ -13,14 +13,14 @@
 import gevent
 
 from loomyard.errors import ResultCode
-from loomyard_router.platform.settings_file import BODIES_PART
+from loomyard_router.platform.settings_file import BODIES_FRACTION
 from loomyard_router.routed.body_budget import (
     ACCOUNT_FRACTION,
     SMALL_BYTES,
     SMALL_FRACTION,
     BodyBudget,
 )
-from loomyard_router.routes.account_terms import AccountTerms
+from loomyard_router.routes.account_config import AccountConfig
 from loomyard_router.routes.caller_limits import CallerLimits
 from test_loomyard_router.test_routed.routed_case import RoutedCase, request_bytes, route
 from test_loomyard_router.test_routed.scripted_target import Received, answer
@@ -31,7 +31,7 @@
 MEGABYTE = 1 << 20
 LARGE = 4 * MEGABYTE
 SMALLEST_VM = 160 * MEGABYTE
-MAX_BYTES = int(BODIES_PART * SMALLEST_VM)
+MAX_BYTES = int(BODIES_FRACTION * SMALLEST_VM)
 
 
 def answer_late(request: Received, sock: socket.socket) -> None:
@@ -91,8 +91,8 @@
         target = self.target("t-1", answer_late)
         self.announce(target.announced(slots=100))
         accounts = [
-            AccountTerms(name="north", keys=("key-n",)),
-            AccountTerms(name="south", keys=("key-s",)),
+            AccountConfig(name="north", keys=("key-n",)),
+            AccountConfig(name="south", keys=("key-s",)),
         ]
         limits = CallerLimits(body_bytes=LARGE)
         self.publish(route(objective=10.0), accounts=accounts, limits=limits)
@@ -110,19 +110,19 @@
         statuses = [one.get() for one in uploads]
         self.assertEqual({200, 503}, set(statuses))
         self.assertEqual([200] * 4, [one.get().status for one in small])
-        self.assertLessEqual(self.router.bodies.peak_bytes, MAX_BYTES)
-        self.assertEqual(statuses.count(503), self.router.bodies.refused)
+        self.assertLessEqual(self.router.body_budget.peak_bytes, MAX_BYTES)
+        self.assertEqual(statuses.count(503), self.router.body_budget.refused)
 
     def test_the_memory_is_released_after_the_answer(self) -> None:
         self.upload(1)
-        self.until(lambda: self.router.bodies.held_bytes == 0)
+        self.until(lambda: self.router.body_budget.held_bytes == 0)
 
     def test_a_disconnect_during_the_upload_releases_the_memory(self) -> None:
         sock = self.connect()
         sock.sendall(request_bytes("/p/x", body=b"x" * LARGE)[:MEGABYTE])
-        self.until(lambda: self.router.bodies.held_bytes == LARGE)
+        self.until(lambda: self.router.body_budget.held_bytes == LARGE)
         sock.close()
-        self.until(lambda: self.router.bodies.held_bytes == 0)
+        self.until(lambda: self.router.body_budget.held_bytes == 0)
 
 
 if __name__ == "__main__":
--- a/tests/test_loomyard_router/test_routed/test_connections.py
+++ b/tests/test_loomyard_router/test_routed/test_connections.py
@@ -95,7 +95,7 @@
             (self.targets, self.router._targets),
         ):
             feed.lose()
-            self.until(lambda follower=follower: not follower.answering)
+            self.until(lambda follower=follower: not follower.store_available)
 
     def check_it_is_answered(self, kind: RouteKind, script: Script, body: bytes) -> None:
         """Lose the store while a target runs a request; the script waits for ``lost``."""
@@ -162,7 +162,7 @@
         stopping = gevent.spawn(self.router.drain)
         self.until(lambda: self.router.stopping)
         self.assertFalse(self.router.ready)
-        self.until(lambda: self.router.closing)
+        self.until(lambda: self.router.refusing)
         with self.assertRaises(ConnectionRefusedError):
             self.connect()
         self.assertEqual(b"", kept.recv(10))
--- a/tests/test_loomyard_router/test_routed/test_refusing_targets.py
+++ b/tests/test_loomyard_router/test_routed/test_refusing_targets.py
@@ -13,7 +13,7 @@
 
 from loomyard_router.admission import ejection_tracker
 from loomyard_router.routes.kind import RouteKind
-from loomyard_router.routes.service_terms import EngineTerms, ServiceTerms
+from loomyard_router.routes.service_config import EngineConfig, ServiceConfig
 from test_loomyard_router.test_routed.routed_case import RoutedCase, route
 from test_loomyard_router.test_routed.scripted_target import (
     Received,
@@ -29,7 +29,7 @@
 CALLS = 40
 # Longer than the calls can take, so that no result depends on the load of the VM.
 EJECTION_SECONDS = 600.0
-ENGINE = EngineTerms(slots=4)
+ENGINE = EngineConfig(slots=4)
 
 
 def fail(request: Received, sock: socket.socket) -> None:
@@ -55,7 +55,7 @@
     ) -> None:
         scripts: dict[str, Script] = {"failing": fail, "refusing": refuse}
         for kind, terms in (("plain", None), ("engine", ENGINE)):
-            services = [ServiceTerms(name=f"{kind}-{name}", engine=terms) for name in scripts]
+            services = [ServiceConfig(name=f"{kind}-{name}", engine=terms) for name in scripts]
             kinds = {"kind": RouteKind.IDEMPOTENT}
             routes = [route(f"/{service.name}/", service.name, **kinds) for service in services]
             self.publish(*routes, services=services, version=self.router.holder.version + 2)
--- a/tests/test_loomyard_router/test_routed/test_unread_answers.py
+++ b/tests/test_loomyard_router/test_routed/test_unread_answers.py
@@ -147,7 +147,7 @@
         sock.connect(("127.0.0.1", self.router.port))
         sock.sendall(request_bytes("/p/x"))
         self.until(lambda: self.sent_all)
-        self.assertEqual(1, self.router.unread.buffered)
+        self.assertEqual(1, self.router.unread_answers.buffered)
         response = http.client.HTTPResponse(sock, method="POST")
         response.begin()
         self.assertEqual(LARGE_EVENTS, response.read().count(b"id: "))
--- a/tests/test_loomyard_router/test_slot_metrics.py
+++ b/tests/test_loomyard_router/test_slot_metrics.py
@@ -8,19 +8,19 @@
 from loomyard_router.admission.prefill_estimate import PrefillEstimate
 from loomyard_router.admission.slot_metrics import SlotMetrics
 from loomyard_router.announced.target_incarnation import TargetIncarnation
-from loomyard_router.metrics.exposition import MetersCollector, expose
-from loomyard_router.metrics.meters import Meters
+from loomyard_router.metrics.exposition import RouterCollector, expose
+from loomyard_router.metrics.request_metrics import RequestMetrics
 from loomyard_router.peers.traffic import TrafficCounters
 from loomyard_router.routed.body_metrics import BodyMetrics
 
 
 class SlotMetricsTest(unittest.TestCase):
     def test_metrics_of_slots_and_bodies_are_exposed(self) -> None:
-        collector = MetersCollector(
-            Meters(SystemClock()),
+        collector = RouterCollector(
+            RequestMetrics(SystemClock()),
             TrafficCounters(),
             lambda: 0,
-            places=SlotMetrics(
+            slots=SlotMetrics(
                 prefill_estimates=lambda: {TargetIncarnation("e0"): PrefillEstimate(0.5, 40_000.0)},
                 refusals=lambda: {"reading": 7},
                 unresponsive_owners=lambda: 2,
--- a/tests/test_loomyard_router/test_targets/test_http_engine.py
+++ b/tests/test_loomyard_router/test_targets/test_http_engine.py
@@ -9,7 +9,7 @@
 
 from loomyard.clock import SystemClock
 from loomyard.errors import Executed, ResultCode
-from loomyard.outside.engine import TargetCall
+from loomyard.external.engine import TargetCall
 from loomyard_router.targets.http_engine import make_http_engine
 from loomyard_standins.scripted_target import ScriptedTarget, answer_bytes
 
--- a/tests/test_loomyard_router/test_targets/test_known_targets.py
+++ b/tests/test_loomyard_router/test_targets/test_known_targets.py
@@ -9,8 +9,8 @@
 
 from loomyard.configuration import Change, ConfigState, Put, fold
 from loomyard.configuration.change import ABSENT
+from loomyard.external.vm_list import Vm, VmState
 from loomyard.objects import Metadata, Service, ServiceType, Target, TargetState, ref_of
-from loomyard.outside.vm_list import Vm, VmState
 from loomyard.routing import Routing
 from loomyard_router.members.membership import Member, SoleMembership
 from loomyard_router.targets.health import FAILURES_TO_EJECT, MAX_BACKOFF
--- a/tests/test_loomyard_router/test_targets/test_leaving_broadcast.py
+++ b/tests/test_loomyard_router/test_targets/test_leaving_broadcast.py
@@ -7,8 +7,8 @@
 import gevent
 
 from loomyard.configuration import Change, ConfigState, Put, fold
+from loomyard.external.vm_list import Vm, VmState
 from loomyard.objects import Metadata, Service, Target
-from loomyard.outside.vm_list import Vm, VmState
 from loomyard.routing import Routing
 from loomyard_router.peers.no_peers import NoPeers
 from loomyard_router.targets.known_targets import KnownTargets, make_known_targets
--- a/tests/test_loomyard_router/test_targets/test_leaving_path.py
+++ b/tests/test_loomyard_router/test_targets/test_leaving_path.py
@@ -23,7 +23,7 @@
         return answer.choices[0].text
 
     def test_a_leaving_refusal_is_retried_elsewhere_and_stops_new_work(self) -> None:
-        targets = self.fleet.routers[0].parts.targets
+        targets = self.fleet.routers[0].components.targets
         self.fleet.engines[0].leaving = True
         answers = [self.complete() for _ in range(12)]
         self.assertEqual(answers, ["t0 "] * 12)
@@ -31,7 +31,7 @@
         self.assertEqual(self.fleet.engines[0].opened, [])
 
     def test_a_leaving_load_report_stops_new_work(self) -> None:
-        targets = self.fleet.routers[0].parts.targets
+        targets = self.fleet.routers[0].components.targets
         self.fleet.engines[1].leaving = True
         with gevent.Timeout(10):
             while targets.may_send("engine-1"):
--- a/tests/test_loomyard_router/test_targets/test_prefix_index.py
+++ b/tests/test_loomyard_router/test_targets/test_prefix_index.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from loomyard.outside.engine import CacheEvent
+from loomyard.external.engine import CacheEvent
 from loomyard_router.targets.prefix_index import (
     ENTRY_SECONDS,
     FRESH_SECONDS,
--- a/tests/test_loomyard_router/test_targets/test_slot_estimate.py
+++ b/tests/test_loomyard_router/test_targets/test_slot_estimate.py
@@ -5,7 +5,7 @@
 import unittest
 from collections import deque
 
-from loomyard.outside.engine import LoadReport
+from loomyard.external.engine import LoadReport
 from loomyard_router.targets.slot_estimate import MAX_GROWTH, SlotEstimate, queue_allowance
 
 
--- a/tests/test_loomyard_router/test_tls.py
+++ b/tests/test_loomyard_router/test_tls.py
@@ -18,7 +18,7 @@
 from geventhttpclient.connectionpool import SSLConnectionPool
 
 from loomyard.clock import SystemClock
-from loomyard.outside.engine import TargetCall
+from loomyard.external.engine import TargetCall
 from loomyard_router.callers.handler import CallerServer
 from loomyard_router.callers.in_flight import InFlight
 from loomyard_router.settings import parse_settings
--- a/tests/test_loomyard_standins/test_checkers.py
+++ b/tests/test_loomyard_standins/test_checkers.py
@@ -6,7 +6,7 @@
 
 import gevent
 
-from loomyard.outside.engine import EngineOrder
+from loomyard.external.engine import EngineOrder
 from loomyard_standins.faults import planted_bugs as bugs
 from loomyard_standins.faults.answer_fault import AnswerFault
 from loomyard_standins.faults.checkers import CHECKERS, Invariant, check
--- a/tests/test_loomyard_standins/test_engine.py
+++ b/tests/test_loomyard_standins/test_engine.py
@@ -7,7 +7,7 @@
 
 from loomyard.clock import SystemClock
 from loomyard.errors import ResultCode
-from loomyard.outside.engine import EngineOrder, TargetCall
+from loomyard.external.engine import EngineOrder, TargetCall
 from loomyard_router.targets.http_engine import make_http_engine
 from loomyard_standins.engine import EngineServer
 
--- a/tests/test_loomyard_standins/test_weight_store.py
+++ b/tests/test_loomyard_standins/test_weight_store.py
@@ -5,7 +5,7 @@
 import unittest
 
 from loomyard.errors import ResultCode
-from loomyard.outside.http_weight_store import connect_weight_store
+from loomyard.external.http_weight_store import connect_weight_store
 from loomyard_standins.fake_clock import FakeClock
 from loomyard_standins.weight_store import LimitedWeightStore, WeightStoreServer
 
--- a/tests/test_loomyardctl/test_commands.py
+++ b/tests/test_loomyardctl/test_commands.py
@@ -51,7 +51,7 @@
         outcome = json.loads(out)
         self.assertEqual((code, outcome["verdict"]), (0, "accepted"))
         self.assertEqual(outcome["in_force"], ["router-0"])
-        self.assertEqual(self.fleet.routers[0].parts.follower.state.version, outcome["offset"])
+        self.assertEqual(self.fleet.routers[0].components.follower.state.version, outcome["offset"])
         code, out, _ = self.call("apply", self.write(ACCOUNT % 3))
         self.assertEqual((code, out), (0, "nothing to change: 1 objects are up to date\n"))
 
@@ -90,7 +90,7 @@
         ):
             self.write(ACCOUNT % 6, "other.yaml")
             self.assertEqual(self.call("apply", mine, "--retry", "1")[0], 0)
-        account = self.fleet.routers[0].parts.follower.routing.accounts["kiosk"]
+        account = self.fleet.routers[0].components.follower.routing.accounts["kiosk"]
         self.assertEqual((account.weight, publishers.call_count), (4.0, 2))
 
     def test_parts_splits_a_set_into_changes_with_services_first(self) -> None:
@@ -120,7 +120,7 @@
         self.assertEqual(code, 0)
         self.assertIn("+weight: 5.0", out)
         self.assertIn("replace ClientAccount/kiosk", out)
-        self.assertEqual(self.fleet.routers[0].parts.follower.state.version, 0)
+        self.assertEqual(self.fleet.routers[0].components.follower.state.version, 0)
 
     def test_status_and_get_print_tables(self) -> None:
         code, out, _ = self.call("status", "--check")
@@ -134,13 +134,13 @@
         code, out, _ = self.call("targets")
         self.assertEqual(code, 0)
         self.assertRegex(out, r"engine-0 +serving +8 +8 +assistant")
-        self.fleet.routers[0].parts.targets.report_leaving("engine-0")
+        self.fleet.routers[0].components.targets.report_leaving("engine-0")
         _, out, _ = self.call("targets", "-o", "json")
         standings = {t["name"]: t["standing"] for t in json.loads(out)["targets"]}
         self.assertEqual(standings["engine-0"], "leaving by its own word")
 
     def test_explain_prints_the_steps_of_a_known_request(self) -> None:
-        journal = self.fleet.routers[0].parts.journal
+        journal = self.fleet.routers[0].components.journal
         journal.record("req-1", Step.QUEUED, "behind 3 of account kiosk")
         code, out, _ = self.call("explain", "req-1")
         self.assertEqual(code, 0)
@@ -149,7 +149,7 @@
 
     def test_drain_of_targets_and_routers(self) -> None:
         self.assertEqual(self.call("drain", "target", "engine-0")[0], 0)
-        self.assertFalse(self.fleet.routers[0].parts.targets.may_send("engine-0"))
+        self.assertFalse(self.fleet.routers[0].components.targets.may_send("engine-0"))
         stop_requests: list[bool] = []
         self.fleet.routers[0].on_stop_request(lambda: stop_requests.append(True))
         self.assertEqual(self.call("drain", "router", "router-0")[0], 0)
