--- a/packages/loomyard-router/src/loomyard_router/admission/assembly.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/assembly.py
@@ -29,7 +29,7 @@
     from collections.abc import Callable
 
     from loomyard.clock import Clock
-    from loomyard_router.announced.target_incarnation import TargetIncarnation
+    from loomyard_router.announced.target_incarnation import TargetLife
     from loomyard_router.announced.target_registry import TargetRegistry
     from loomyard_router.members.membership import Membership
     from loomyard_router.peers.links import PeerLinks
@@ -72,7 +72,7 @@
         self.slot_owner.stop()
         self.ledger.stop()
 
-    def retain(self, known: set[TargetIncarnation]) -> None:
+    def retain(self, known: set[TargetLife]) -> None:
         """Drop the state of all other incarnations of targets."""
         self.loads.retain(known)
         self.health.retain(known)
--- a/packages/loomyard-router/src/loomyard_router/admission/ejection_tracker.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/ejection_tracker.py
@@ -14,7 +14,7 @@
 
     from loomyard.clock import Clock
     from loomyard_router.announced.announced_target import AnnouncedTarget
-    from loomyard_router.announced.target_incarnation import TargetIncarnation
+    from loomyard_router.announced.target_incarnation import TargetLife
 
 logger = logging.getLogger(__name__)
 
@@ -43,7 +43,7 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._records: dict[TargetIncarnation, _Record] = {}
+        self._records: dict[TargetLife, _Record] = {}
 
     def healthy(self, targets: Iterable[AnnouncedTarget]) -> list[AnnouncedTarget]:
         """Return the targets that are not ejected, or all of them where each one is."""
@@ -87,11 +87,11 @@
             detail=detail,
         )
 
-    def retain(self, known: set[TargetIncarnation]) -> None:
+    def retain(self, known: set[TargetLife]) -> None:
         """Drop the state of all other incarnations."""
         for incarnation in set(self._records) - known:
             del self._records[incarnation]
 
-    def _is_ejected(self, incarnation: TargetIncarnation, now: float) -> bool:
+    def _is_ejected(self, incarnation: TargetLife, now: float) -> bool:
         record = self._records.get(incarnation)
         return record is not None and record.ejected_until > now
--- a/packages/loomyard-router/src/loomyard_router/admission/fleet_gate.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/fleet_gate.py
@@ -13,7 +13,7 @@
 from loomyard_router.admission.slot_client import ISOLATION_THRESHOLD, SlotStatus
 from loomyard_router.admission.slot_permit import SlotPermit
 from loomyard_router.admission.waiting_time import RetryHint, find_wait_deadline
-from loomyard_router.announced.target_incarnation import TargetIncarnation
+from loomyard_router.announced.target_incarnation import TargetLife
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
@@ -56,7 +56,7 @@
 @frozen
 class _CachedWeights:
     until: float
-    by_incarnation: dict[TargetIncarnation, float]
+    by_incarnation: dict[TargetLife, float]
 
 
 class FleetGate:
@@ -89,7 +89,7 @@
         self._cold = cold
 
     def acquire(
-        self, request: RoutedRequest, excluded: frozenset[TargetIncarnation]
+        self, request: RoutedRequest, excluded: frozenset[TargetLife]
     ) -> Result[SlotPermit, Fault]:
         """Wait for a slot at a target that is not excluded.
 
@@ -110,7 +110,7 @@
             self._backlog.remove_waiting(account)
 
     def _find_slot(
-        self, request: RoutedRequest, excluded: frozenset[TargetIncarnation]
+        self, request: RoutedRequest, excluded: frozenset[TargetLife]
     ) -> Result[SlotPermit, Fault]:
         ranked = self._rank(request, excluded)
         if not ranked:
@@ -193,7 +193,7 @@
         return Ok(permit)
 
     def _rank(
-        self, request: RoutedRequest, excluded: frozenset[TargetIncarnation]
+        self, request: RoutedRequest, excluded: frozenset[TargetLife]
     ) -> list[AnnouncedTarget]:
         usable = [
             one for one in self._registry.usable(request.service) if one.incarnation not in excluded
@@ -212,7 +212,7 @@
             ranked.sort(key=self._client.slots_in_use)
         return ranked
 
-    def _capacity_weights(self, service: str) -> dict[TargetIncarnation, float]:
+    def _capacity_weights(self, service: str) -> dict[TargetLife, float]:
         """Return the relative prefill speeds of the targets of a service, cached for a moment."""
         now = self._clock.now()
         weights = self._weights.get(service)
--- a/packages/loomyard-router/src/loomyard_router/admission/gate_selector.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/gate_selector.py
@@ -17,7 +17,7 @@
 
     from loomyard.errors import Fault
     from loomyard_router.admission.slot_permit import SlotPermit
-    from loomyard_router.announced.target_incarnation import TargetIncarnation
+    from loomyard_router.announced.target_incarnation import TargetLife
     from loomyard_router.routed.routed_request import RoutedRequest
 
 
@@ -37,7 +37,7 @@
     plain: AdmissionGate
 
     def acquire(
-        self, request: RoutedRequest, excluded: frozenset[TargetIncarnation]
+        self, request: RoutedRequest, excluded: frozenset[TargetLife]
     ) -> Result[SlotPermit, Fault]:
         """Wait for a slot, see ``AdmissionGate``."""
         table = self.holder.table
--- a/packages/loomyard-router/src/loomyard_router/admission/local_gate.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/local_gate.py
@@ -22,7 +22,7 @@
     from loomyard_router.admission.waiting_time import RetryHint
     from loomyard_router.announced.announced_target import AnnouncedTarget
     from loomyard_router.announced.cold_targets import ColdTargets
-    from loomyard_router.announced.target_incarnation import TargetIncarnation
+    from loomyard_router.announced.target_incarnation import TargetLife
     from loomyard_router.announced.target_registry import TargetRegistry
     from loomyard_router.routed.routed_request import RoutedRequest
 
@@ -57,7 +57,7 @@
         registry.subscribe(self._dispatch_all)
 
     def acquire(
-        self, request: RoutedRequest, excluded: frozenset[TargetIncarnation]
+        self, request: RoutedRequest, excluded: frozenset[TargetLife]
     ) -> Result[SlotPermit, Fault]:
         """Wait for a slot at a target that is not excluded.
 
@@ -112,7 +112,7 @@
                 del queue[waiter.request.account_name]
 
     def _candidates(
-        self, request: RoutedRequest, excluded: frozenset[TargetIncarnation]
+        self, request: RoutedRequest, excluded: frozenset[TargetLife]
     ) -> list[AnnouncedTarget]:
         usable = [
             one
--- a/packages/loomyard-router/src/loomyard_router/admission/slot_client.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/slot_client.py
@@ -19,7 +19,7 @@
     SlotsHeld,
     SlotsReleased,
 )
-from loomyard_router.announced.target_incarnation import TargetIncarnation
+from loomyard_router.announced.target_incarnation import TargetLife
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
@@ -64,7 +64,7 @@
 
 @frozen(kw_only=True)
 class _Held:
-    target: TargetIncarnation
+    target: TargetLife
     owner: str
 
 
@@ -87,14 +87,14 @@
         self._estimates = estimates
         self._last_permit = 0
         self._held: dict[int, _Held] = {}
-        self._owners: dict[TargetIncarnation, str] = {}
+        self._owners: dict[TargetLife, str] = {}
         self._owner_health = OwnerHealth(clock=clock, members=members, peers=peers)
         self._owner_health.subscribe(self._update_owners)
         self.refusals: Counter[str] = Counter()
         self._released: dict[str, list[int]] = {}
         self._read: dict[str, list[int]] = {}
         self._sending: set[str] = set()
-        self._slots_in_use: dict[TargetIncarnation, int] = {}
+        self._slots_in_use: dict[TargetLife, int] = {}
         self._task: gevent.Greenlet | None = None
         members.subscribe(self._update_owners)
 
@@ -188,14 +188,14 @@
         if held is not None:
             self._queue_release(held.owner, permit)
 
-    def retain(self, known: set[TargetIncarnation]) -> None:
+    def retain(self, known: set[TargetLife]) -> None:
         """Drop what is cached of all other incarnations."""
         for incarnation in set(self._slots_in_use) - known:
             del self._slots_in_use[incarnation]
         for incarnation in set(self._owners) - known:
             del self._owners[incarnation]
 
-    def owner_of(self, incarnation: TargetIncarnation) -> str:
+    def owner_of(self, incarnation: TargetLife) -> str:
         """Return the name of the slot owner of a target."""
         owner = self._owners.get(incarnation)
         if owner is None:
@@ -206,7 +206,7 @@
     def renew(self, *, moved: bool = False) -> None:
         """Report all held permits to their slot owners; with the estimates where owners changed."""
         own = self._members.own
-        by_owner: dict[str, dict[TargetIncarnation, list[int]]] = {}
+        by_owner: dict[str, dict[TargetLife, list[int]]] = {}
         for permit, held in self._held.items():
             by_owner.setdefault(held.owner, {}).setdefault(held.target, []).append(permit)
         for owner, held_there in by_owner.items():
@@ -242,7 +242,7 @@
             self._held[message.permit] = _Held(target=message.target, owner=owner)
         return reply
 
-    def _is_ranked_first(self, incarnation: TargetIncarnation) -> bool:
+    def _is_ranked_first(self, incarnation: TargetLife) -> bool:
         """Tell whether the owner of a target would be the same if all live routers answered."""
         return self.owner_of(incarnation) == choose(
             incarnation, [one.name for one in self._members.live()]
--- a/packages/loomyard-router/src/loomyard_router/admission/slot_messages.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/slot_messages.py
@@ -5,7 +5,7 @@
 from attrs import field, frozen
 
 from loomyard_router.admission.prefill_estimate import PrefillEstimate
-from loomyard_router.announced.target_incarnation import TargetIncarnation
+from loomyard_router.announced.target_incarnation import TargetLife
 from loomyard_router.peers.message_types import peer_message
 
 
@@ -26,7 +26,7 @@
     other such request has just started.
     """
 
-    target: TargetIncarnation
+    target: TargetLife
     slots: int
     permit: int
     usage: int
@@ -87,5 +87,5 @@
     receiver may have become their slot owner just now.
     """
 
-    held: dict[TargetIncarnation, list[int]] = field(factory=dict)
-    estimates: dict[TargetIncarnation, PrefillEstimate] = field(factory=dict)
+    held: dict[TargetLife, list[int]] = field(factory=dict)
+    estimates: dict[TargetLife, PrefillEstimate] = field(factory=dict)
--- a/packages/loomyard-router/src/loomyard_router/admission/slot_metrics.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/slot_metrics.py
@@ -7,7 +7,7 @@
 from attrs import frozen
 
 from loomyard_router.admission.prefill_estimate import PrefillEstimate
-from loomyard_router.announced.target_incarnation import TargetIncarnation
+from loomyard_router.announced.target_incarnation import TargetLife
 
 
 @frozen(kw_only=True)
@@ -18,6 +18,6 @@
     the number of slot owners that do not answer this router.
     """
 
-    prefill_estimates: Callable[[], Mapping[TargetIncarnation, PrefillEstimate]] = dict
+    prefill_estimates: Callable[[], Mapping[TargetLife, PrefillEstimate]] = dict
     refusals: Callable[[], Mapping[str, int]] = dict
     unresponsive_owners: Callable[[], int] = lambda: 0
--- a/packages/loomyard-router/src/loomyard_router/admission/slot_owner.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/slot_owner.py
@@ -24,7 +24,7 @@
     from loomyard_router.admission.prefill_estimate import PrefillEstimate
     from loomyard_router.admission.target_estimates import TargetEstimates
     from loomyard_router.announced.cold_targets import ColdTargets
-    from loomyard_router.announced.target_incarnation import TargetIncarnation
+    from loomyard_router.announced.target_incarnation import TargetLife
     from loomyard_router.announced.target_registry import TargetRegistry
     from loomyard_router.members.membership import Member, Membership
     from loomyard_router.peers.links import PeerLinks
@@ -65,7 +65,7 @@
         self._estimates = estimates
         self._order = order or ReserveForLeastServed()
         self._members = members
-        self._slots: dict[TargetIncarnation, TargetSlots] = {}
+        self._slots: dict[TargetLife, TargetSlots] = {}
         self._task: gevent.Greenlet | None = None
         peers.handle(SlotRequest, self.request)
         peers.handle(SlotsReleased, self.release)
@@ -141,7 +141,7 @@
 
     def _open(
         self,
-        incarnation: TargetIncarnation,
+        incarnation: TargetLife,
         count: int,
         received: PrefillEstimate | None = None,
     ) -> TargetSlots:
@@ -172,7 +172,7 @@
             estimate=estimate,
         )
 
-    def _cold_rate(self, incarnation: TargetIncarnation) -> float:
+    def _cold_rate(self, incarnation: TargetLife) -> float:
         target = self._registry.find(incarnation)
         return UNLIMITED if target is None else self._cold.rate_limit(target)
 
--- a/packages/loomyard-router/src/loomyard_router/admission/target_estimates.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/target_estimates.py
@@ -9,7 +9,7 @@
 from attrs import define, field
 
 from loomyard_router.admission.prefill_estimate import PrefillEstimate
-from loomyard_router.announced.target_incarnation import TargetIncarnation
+from loomyard_router.announced.target_incarnation import TargetLife
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -28,25 +28,21 @@
     A router that becomes the slot owner of a target starts from what routers received of it before.
     """
 
-    _latest: dict[TargetIncarnation, PrefillEstimate] = field(factory=dict)
+    _latest: dict[TargetLife, PrefillEstimate] = field(factory=dict)
 
-    def all(self) -> dict[TargetIncarnation, PrefillEstimate]:
+    def all(self) -> dict[TargetLife, PrefillEstimate]:
         """Return a copy of all estimates."""
         return dict(self._latest)
 
-    def record(self, incarnation: TargetIncarnation, estimate: PrefillEstimate) -> None:
+    def record(self, incarnation: TargetLife, estimate: PrefillEstimate) -> None:
         """Replace the estimate of a target by that of its slot owner."""
         self._latest[incarnation] = estimate
 
-    def among(
-        self, incarnations: Iterable[TargetIncarnation]
-    ) -> dict[TargetIncarnation, PrefillEstimate]:
+    def among(self, incarnations: Iterable[TargetLife]) -> dict[TargetLife, PrefillEstimate]:
         """Return the estimates of some targets, as far as there are any."""
         return {one: self._latest[one] for one in incarnations if one in self._latest}
 
-    def find_prior(
-        self, incarnation: TargetIncarnation, others: Iterable[TargetIncarnation]
-    ) -> PrefillEstimate:
+    def find_prior(self, incarnation: TargetLife, others: Iterable[TargetLife]) -> PrefillEstimate:
         """Return the estimate of a target, or else the median of others, or else the default."""
         own = self._latest.get(incarnation)
         if own is not None:
@@ -59,7 +55,7 @@
             median(estimate.tokens_per_second for estimate in known),
         )
 
-    def weights(self, incarnations: Iterable[TargetIncarnation]) -> dict[TargetIncarnation, float]:
+    def weights(self, incarnations: Iterable[TargetLife]) -> dict[TargetLife, float]:
         """Return the prefill speed of each target relative to the median, rounded in steps."""
         listed = list(incarnations)
         known = [self._latest[one].tokens_per_second for one in listed if one in self._latest]
@@ -68,12 +64,12 @@
         middle = median(known)
         return {one: self._weigh(one, middle) for one in listed}
 
-    def retain(self, known: set[TargetIncarnation]) -> None:
+    def retain(self, known: set[TargetLife]) -> None:
         """Drop the state of all other incarnations."""
         for incarnation in set(self._latest) - known:
             del self._latest[incarnation]
 
-    def _weigh(self, incarnation: TargetIncarnation, middle: float) -> float:
+    def _weigh(self, incarnation: TargetLife, middle: float) -> float:
         estimate = self._latest.get(incarnation)
         if estimate is None:
             return 1.0
--- a/packages/loomyard-router/src/loomyard_router/admission/target_loads.py
+++ b/packages/loomyard-router/src/loomyard_router/admission/target_loads.py
@@ -15,7 +15,7 @@
 
     from loomyard.clock import Clock
     from loomyard_router.announced.announced_target import AnnouncedTarget
-    from loomyard_router.announced.target_incarnation import TargetIncarnation
+    from loomyard_router.announced.target_incarnation import TargetLife
 
 # Routers are not equally loaded, so their quotas of a target add up to more than its slots.
 OVERCOMMITMENT = 1.3
@@ -30,9 +30,9 @@
 
     def __init__(self, routers: Callable[[], int]) -> None:
         self._routers = routers
-        self._running: Counter[TargetIncarnation] = Counter()
+        self._running: Counter[TargetLife] = Counter()
         self._waiting: deque[AsyncResult] = deque()
-        self._cold_limiters: dict[TargetIncarnation, ColdLimiter] = {}
+        self._cold_limiters: dict[TargetLife, ColdLimiter] = {}
 
     def running(self, target: AnnouncedTarget) -> int:
         """Return how many requests of this router run at a target."""
@@ -61,7 +61,7 @@
         limiter.spend()
         return True
 
-    def retain(self, known: set[TargetIncarnation]) -> None:
+    def retain(self, known: set[TargetLife]) -> None:
         """Drop the cold limiters of all other incarnations."""
         for incarnation in set(self._cold_limiters) - known:
             del self._cold_limiters[incarnation]
--- a/packages/loomyard-router/src/loomyard_router/announced/announced_target.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/announced_target.py
@@ -4,7 +4,7 @@
 
 from attrs import field, frozen
 
-from loomyard_router.announced.target_incarnation import TargetIncarnation, make_incarnation
+from loomyard_router.announced.target_incarnation import TargetLife, make_incarnation
 from loomyard_router.feeds.feed_position import NO_POSITION, FeedPosition
 
 
@@ -26,8 +26,8 @@
     born: int | None = None
     cold_seconds: float = 0.0
     position: FeedPosition = field(default=NO_POSITION, eq=False)
-    incarnation: TargetIncarnation = field(init=False, repr=False)
+    incarnation: TargetLife = field(init=False, repr=False)
 
     @incarnation.default
-    def _make_incarnation(self) -> TargetIncarnation:
+    def _make_incarnation(self) -> TargetLife:
         return make_incarnation(self.id, self.born)
--- a/packages/loomyard-router/src/loomyard_router/announced/leaving_exchange.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/leaving_exchange.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from loomyard_router.announced.target_incarnation import TargetIncarnation
+from loomyard_router.announced.target_incarnation import TargetLife
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
@@ -35,9 +35,9 @@
         self._registry.notices.subscribe(self._announce)
         self._members.subscribe_topic(TOPIC, self._receive)
 
-    def _announce(self, incarnation: TargetIncarnation) -> None:
+    def _announce(self, incarnation: TargetLife) -> None:
         until = self._clock.now() + GOSSIP_SECONDS
         self._members.announce(TOPIC, incarnation, LEAVING_VALUE, until=until)
 
     def _receive(self, incarnation: str, _: int) -> None:
-        self._registry.record_leaving(TargetIncarnation(incarnation))
+        self._registry.record_leaving(TargetLife(incarnation))
--- a/packages/loomyard-router/src/loomyard_router/announced/target_notices.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_notices.py
@@ -14,7 +14,7 @@
 
     from loomyard.clock import Clock
     from loomyard_router.announced.announced_target import AnnouncedTarget
-    from loomyard_router.announced.target_incarnation import TargetIncarnation
+    from loomyard_router.announced.target_incarnation import TargetLife
     from loomyard_router.announced.target_notice import TargetNotice
 
 logger = logging.getLogger(__name__)
@@ -33,9 +33,9 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._leaving: OrderedDict[TargetIncarnation, None] = OrderedDict()
+        self._leaving: OrderedDict[TargetLife, None] = OrderedDict()
         self._backoffs = TargetBackoffs(clock)
-        self._listeners: list[Callable[[TargetIncarnation], None]] = []
+        self._listeners: list[Callable[[TargetLife], None]] = []
         self.leaving_count = 0
         self.backoff_requests = 0
 
@@ -44,15 +44,15 @@
         """Return from how many targets this router backs off now."""
         return len(self._backoffs.names)
 
-    def subscribe(self, listener: Callable[[TargetIncarnation], None]) -> None:
+    def subscribe(self, listener: Callable[[TargetLife], None]) -> None:
         """Call back with each incarnation that told this router it leaves; must not block."""
         self._listeners.append(listener)
 
-    def is_leaving(self, incarnation: TargetIncarnation) -> bool:
+    def is_leaving(self, incarnation: TargetLife) -> bool:
         """Return whether an incarnation said that it leaves."""
         return incarnation in self._leaving
 
-    def backoff_until(self, incarnation: TargetIncarnation) -> float:
+    def backoff_until(self, incarnation: TargetLife) -> float:
         """Return the end of the back-off that an incarnation asked for; it may have passed."""
         return self._backoffs.until(incarnation)
 
@@ -69,7 +69,7 @@
         )
         return leaves or backs_off
 
-    def record_leaving(self, incarnation: TargetIncarnation) -> bool:
+    def record_leaving(self, incarnation: TargetLife) -> bool:
         """Record that an incarnation leaves; return whether that is new."""
         if incarnation in self._leaving:
             return False
--- a/packages/loomyard-router/src/loomyard_router/announced/target_registry.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/target_registry.py
@@ -16,7 +16,7 @@
     from collections.abc import Callable, Iterable
 
     from loomyard.clock import Clock
-    from loomyard_router.announced.target_incarnation import TargetIncarnation
+    from loomyard_router.announced.target_incarnation import TargetLife
     from loomyard_router.announced.target_notice import TargetNotice
 
 logger = logging.getLogger(__name__)
@@ -54,9 +54,9 @@
         self._targets: dict[str, AnnouncedTarget] = {}
         self._lapsed: dict[str, _Lapsed] = {}
         self._usable: dict[str, tuple[AnnouncedTarget, ...]] = {}
-        self._usable_incarnations: frozenset[TargetIncarnation] = frozenset()
-        self._open_incarnations: frozenset[TargetIncarnation] = frozenset()
-        self._by_incarnation: dict[TargetIncarnation, AnnouncedTarget] = {}
+        self._usable_incarnations: frozenset[TargetLife] = frozenset()
+        self._open_incarnations: frozenset[TargetLife] = frozenset()
+        self._by_incarnation: dict[TargetLife, AnnouncedTarget] = {}
         self._listeners: list[Callable[[], None]] = []
         self._evacuated: frozenset[str] = frozenset()
         self._reinstated_at: dict[str, float] = {}
@@ -88,7 +88,7 @@
         self.usable(target.service)
         return target.incarnation in self._usable_incarnations
 
-    def is_withdrawn(self, incarnation: TargetIncarnation) -> bool:
+    def is_withdrawn(self, incarnation: TargetLife) -> bool:
         """Return whether no router may use an incarnation; back-offs bind single routers."""
         return incarnation in self._by_incarnation and incarnation not in self._open_incarnations
 
@@ -104,7 +104,7 @@
         """Return when an evacuated data centre was last reinstated, minus infinity for never."""
         return self._reinstated_at.get(data_centre, -math.inf)
 
-    def find(self, incarnation: TargetIncarnation) -> AnnouncedTarget | None:
+    def find(self, incarnation: TargetLife) -> AnnouncedTarget | None:
         """Return the listed target with an incarnation."""
         return self._by_incarnation.get(incarnation)
 
@@ -153,7 +153,7 @@
         if self.notices.apply(target, notice):
             self._changed()
 
-    def record_leaving(self, incarnation: TargetIncarnation) -> None:
+    def record_leaving(self, incarnation: TargetLife) -> None:
         """Record that an incarnation told another router that it leaves."""
         if self.notices.record_leaving(incarnation):
             self._changed()
--- a/packages/loomyard-router/src/loomyard_router/configuration/snapshot_writer.py
+++ b/packages/loomyard-router/src/loomyard_router/configuration/snapshot_writer.py
@@ -9,7 +9,7 @@
 from result import Err, Ok
 
 from loomyard.codec import encode
-from loomyard.configuration import CONFIG_STREAM, EMPTY_VERSION, make_snapshot_notice
+from loomyard.configuration import CONFIG_STREAM, EMPTY_VERSION, make_notice
 from loomyard.events import Event, emit
 from loomyard.rendezvous import choose
 from loomyard_router.configuration.task_loop import run_repeatedly
@@ -94,7 +94,7 @@
             case Ok(count):
                 emit(logger, Event.SNAPSHOT_WRITTEN, as_of=state.applied, parts=count)
         name, wall = self._members.own.name, self._clock.wall()
-        notice = make_snapshot_notice(state, writer=name, written_at=wall)
+        notice = make_notice(state, writer=name, written_at=wall)
         return self._log.append(CONFIG_STREAM, encode(notice)).is_ok()
 
     def _step(self) -> float:
--- a/packages/loomyard-router/src/loomyard_router/crashes/coalesced_probe.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/coalesced_probe.py
@@ -10,7 +10,7 @@
     from collections.abc import Callable
 
     from loomyard_router.announced.announced_target import AnnouncedTarget
-    from loomyard_router.announced.target_incarnation import TargetIncarnation
+    from loomyard_router.announced.target_incarnation import TargetLife
 
 
 class CoalescedProbe:
@@ -22,8 +22,8 @@
 
     def __init__(self, probe: Callable[[AnnouncedTarget], bool]) -> None:
         self._probe = probe
-        self._ended: set[TargetIncarnation] = set()
-        self._pending: dict[TargetIncarnation, AsyncResult] = {}
+        self._ended: set[TargetLife] = set()
+        self._pending: dict[TargetLife, AsyncResult] = {}
 
     def has_ended(self, target: AnnouncedTarget) -> bool:
         """Return whether this incarnation of a target has ended; waits for the probe."""
@@ -44,6 +44,6 @@
             self._ended.add(incarnation)
         return ended
 
-    def retain(self, known: set[TargetIncarnation]) -> None:
+    def retain(self, known: set[TargetLife]) -> None:
         """Drop the results of all other incarnations."""
         self._ended &= known
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_guard.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_guard.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from loomyard.clock import Clock
     from loomyard_router.announced.announced_target import AnnouncedTarget
-    from loomyard_router.announced.target_incarnation import TargetIncarnation
+    from loomyard_router.announced.target_incarnation import TargetLife
     from loomyard_router.crashes.coalesced_probe import CoalescedProbe
     from loomyard_router.crashes.crash_ledger import CrashLedger
     from loomyard_router.crashes.crash_record import CrashRecord
@@ -79,7 +79,7 @@
         """Record that a target began an answer, so it has not crashed."""
         self._late_detector.record_response(target.incarnation)
 
-    def update_known(self, known: set[TargetIncarnation]) -> None:
+    def update_known(self, known: set[TargetLife]) -> None:
         """Replace the listed incarnations; attribute crashes to attempts at vanished ones."""
         for incarnation, attempt in self._late_detector.pop_crashed(known):
             self._ledger.record_crash(attempt.fingerprint, attempt.rank, incarnation)
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_ledger.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_ledger.py
@@ -8,7 +8,7 @@
 
 from attrs import frozen
 
-from loomyard_router.announced.target_incarnation import TargetIncarnation
+from loomyard_router.announced.target_incarnation import TargetLife
 from loomyard_router.crashes.crash_record import CrashRecord
 from loomyard_router.members.digests import unordered_digest
 
@@ -41,7 +41,7 @@
     """The requests identified as poison, and the incarnations whose crashes they explain."""
 
     poison: frozenset[str]
-    crashes: frozenset[TargetIncarnation]
+    crashes: frozenset[TargetLife]
 
 
 class CrashLedger:
@@ -116,7 +116,7 @@
         """Return the number of requests that are refused."""
         return sum(self.blocked_until(one) is not None for one in self._candidates)
 
-    def record_crash(self, fingerprint: str, rank: int, incarnation: TargetIncarnation) -> None:
+    def record_crash(self, fingerprint: str, rank: int, incarnation: TargetLife) -> None:
         """Record that a target crashed under an attempt with a rank."""
         until = self._clock.now() + RETENTION_SECONDS
         self.merge(CrashRecord(fingerprint=fingerprint, until=until, crashes={rank: incarnation}))
@@ -196,13 +196,13 @@
         self._invalidate_caches()
 
 
-def attribute_crashes(crashes: Mapping[str, frozenset[TargetIncarnation]]) -> Attribution:
+def attribute_crashes(crashes: Mapping[str, frozenset[TargetLife]]) -> Attribution:
     """Identify poison requests greedily, most unexplained crashes first; ties go together.
 
     ``crashes`` maps fingerprints to the incarnations that crashed under the request.
     """
     poison: set[str] = set()
-    explained: set[TargetIncarnation] = set()
+    explained: set[TargetLife] = set()
     while True:
         left = {one: len(ended - explained) for one, ended in crashes.items() if one not in poison}
         highest = max(left.values(), default=0)
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_messages.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_messages.py
@@ -4,7 +4,7 @@
 
 from attrs import field, frozen
 
-from loomyard_router.announced.target_incarnation import TargetIncarnation
+from loomyard_router.announced.target_incarnation import TargetLife
 from loomyard_router.crashes.crash_record import CrashRecord
 from loomyard_router.peers.message_types import peer_message
 
@@ -19,7 +19,7 @@
 
     fingerprint: str
     cleared: int
-    crashes: list[tuple[int, TargetIncarnation]]
+    crashes: list[tuple[int, TargetLife]]
     remaining_seconds: int
 
 
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_persister.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_persister.py
@@ -12,7 +12,7 @@
 
 from loomyard.events import Event, emit
 from loomyard.rendezvous import choose
-from loomyard_router.announced.target_incarnation import TargetIncarnation
+from loomyard_router.announced.target_incarnation import TargetLife
 from loomyard_router.crashes.crash_ledger import BLOCKING_COUNT, RETENTION_SECONDS
 from loomyard_router.crashes.crash_messages import MAX_NAME_CHARS, CrashEntry, decode_entry
 from loomyard_router.feeds.unreadable_entry import MAX_DETAIL_CHARS
@@ -44,7 +44,7 @@
 
     until: int
     cleared: int = 0
-    crashes: list[tuple[int, TargetIncarnation]] = field(factory=list)
+    crashes: list[tuple[int, TargetLife]] = field(factory=list)
 
 
 class CrashPersister:
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_record.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_record.py
@@ -6,10 +6,10 @@
 
 from attrs import evolve, field, frozen
 
-from loomyard_router.announced.target_incarnation import TargetIncarnation
+from loomyard_router.announced.target_incarnation import TargetLife
 
 # Less than any incarnation, so that it wins when records are merged.
-NOT_BLAMED = TargetIncarnation("")
+NOT_BLAMED = TargetLife("")
 
 
 @frozen(kw_only=True)
@@ -27,10 +27,10 @@
     fingerprint: str
     until: float
     cleared: int = 0
-    crashes: Mapping[int, TargetIncarnation] = field(factory=dict)
+    crashes: Mapping[int, TargetLife] = field(factory=dict)
 
     @property
-    def incarnations(self) -> frozenset[TargetIncarnation]:
+    def incarnations(self) -> frozenset[TargetLife]:
         """Return the incarnations whose crashes count against the request."""
         return frozenset(one for one in self.crashes.values() if one != NOT_BLAMED)
 
@@ -42,7 +42,7 @@
     def merged(self, other: CrashRecord) -> CrashRecord:
         """Return the merged record; merging is commutative, associative and idempotent."""
         cleared = max(self.cleared, other.cleared)
-        crashes: dict[int, TargetIncarnation] = {}
+        crashes: dict[int, TargetLife] = {}
         for rank in sorted({*self.crashes, *other.crashes}):
             if rank > cleared:
                 incarnations = [one.crashes[rank] for one in (self, other) if rank in one.crashes]
@@ -54,7 +54,7 @@
             crashes=crashes,
         )
 
-    def without(self, incarnations: frozenset[TargetIncarnation]) -> CrashRecord:
+    def without(self, incarnations: frozenset[TargetLife]) -> CrashRecord:
         """Return the record without the crashes of some incarnations."""
         crashes = {
             rank: NOT_BLAMED if incarnation in incarnations else incarnation
--- a/packages/loomyard-router/src/loomyard_router/crashes/late_crash_detector.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/late_crash_detector.py
@@ -10,7 +10,7 @@
     from collections.abc import Iterable
 
     from loomyard.clock import Clock
-    from loomyard_router.announced.target_incarnation import TargetIncarnation
+    from loomyard_router.announced.target_incarnation import TargetLife
 
 # A crash breaks all attempts at a target within milliseconds; a busy router sees that over several
 # iterations of its event loop.
@@ -48,10 +48,10 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._suspected: dict[TargetIncarnation, _SuspectedCrash] = {}
+        self._suspected: dict[TargetLife, _SuspectedCrash] = {}
 
     def record_failure(
-        self, incarnation: TargetIncarnation, attempt: FailedAttempt, *, answered: bool
+        self, incarnation: TargetLife, attempt: FailedAttempt, *, answered: bool
     ) -> None:
         """Record a failed attempt; ``answered`` says that bytes of an answer had arrived."""
         now = self._clock.now()
@@ -69,13 +69,11 @@
         else:
             suspected.unanswered += 1
 
-    def record_response(self, incarnation: TargetIncarnation) -> None:
+    def record_response(self, incarnation: TargetLife) -> None:
         """Record that an incarnation began an answer, so it had not crashed."""
         self._suspected.pop(incarnation, None)
 
-    def pop_crashed(
-        self, known: set[TargetIncarnation]
-    ) -> Iterable[tuple[TargetIncarnation, FailedAttempt]]:
+    def pop_crashed(self, known: set[TargetLife]) -> Iterable[tuple[TargetLife, FailedAttempt]]:
         """Yield the attempts that failed at crashed incarnations, once each.
 
         ``known`` holds the listed incarnations. One crashed if it is not listed any more and a
--- a/packages/loomyard-router/src/loomyard_router/operators/changes.py
+++ b/packages/loomyard-router/src/loomyard_router/operators/changes.py
@@ -16,7 +16,7 @@
     Change,
     Put,
     Verdict,
-    find_change_faults,
+    find_form_faults,
 )
 from loomyard.errors import Fault, ResultCode
 from loomyard.events import Event, emit
@@ -133,6 +133,6 @@
     if len(payload) > MAX_CHANGE_BYTES:
         detail = f"the change takes {len(payload)} bytes of {MAX_CHANGE_BYTES}; split it"
         return Fault(code=ResultCode.CHANGE_REJECTED, detail=detail)
-    if faults := find_change_faults(change):
+    if faults := find_form_faults(change):
         return Fault(code=ResultCode.CHANGE_REJECTED, detail="; ".join(faults))
     return None
--- a/packages/loomyard-router/src/loomyard_router/operators/config_restorer.py
+++ b/packages/loomyard-router/src/loomyard_router/operators/config_restorer.py
@@ -17,7 +17,7 @@
     Verdict,
     VersionedObject,
     decide,
-    make_snapshot_notice,
+    make_notice,
     make_state,
 )
 from loomyard.errors import Fault, ResultCode
@@ -78,7 +78,7 @@
         if written.is_err():
             return Err(written.unwrap_err())
         name = self._fleet_status.own().name
-        notice = make_snapshot_notice(state, writer=name, written_at=self._clock.wall())
+        notice = make_notice(state, writer=name, written_at=self._clock.wall())
         self._log.append(CONFIG_STREAM, encode(notice))
         emit(logger, Event.CONFIGURATION_RESTORED, as_of=offset, objects=len(objects))
         reached = self._fleet_status.await_in_force(offset, self._clock.now() + WAIT_SECONDS)
--- a/packages/loomyard-router/src/loomyard_router/routed/connection_pool.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/connection_pool.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from loomyard.clock import Clock
     from loomyard_router.announced.announced_target import AnnouncedTarget
-    from loomyard_router.announced.target_incarnation import TargetIncarnation
+    from loomyard_router.announced.target_incarnation import TargetLife
 
 CONNECT_SECONDS = 0.4
 MAX_IDLE_SECONDS = 8.0
@@ -39,7 +39,7 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._watch = DeadlineWatch(clock)
-        self._idle: dict[TargetIncarnation, list[_Idle]] = {}
+        self._idle: dict[TargetLife, list[_Idle]] = {}
         self.opened = 0
 
     def acquire(self, target: AnnouncedTarget, *, repeatable: bool) -> TargetConnection:
@@ -70,7 +70,7 @@
         """Keep a connection on which nothing was sent."""
         self._keep(target, connection, MAX_IDLE_SECONDS)
 
-    def retain(self, known: set[TargetIncarnation]) -> None:
+    def retain(self, known: set[TargetLife]) -> None:
         """Close expired connections and those to incarnations other than the known ones."""
         now = self._clock.now()
         for incarnation, idle in list(self._idle.items()):
--- a/packages/loomyard-router/src/loomyard_router/routed/forwarder.py
+++ b/packages/loomyard-router/src/loomyard_router/routed/forwarder.py
@@ -24,7 +24,7 @@
     from loomyard_router.admission.admission_gate import AdmissionGate
     from loomyard_router.admission.ejection_tracker import EjectionTracker
     from loomyard_router.admission.slot_permit import SlotPermit
-    from loomyard_router.announced.target_incarnation import TargetIncarnation
+    from loomyard_router.announced.target_incarnation import TargetLife
     from loomyard_router.announced.target_registry import TargetRegistry
     from loomyard_router.crashes.crash_guard import CrashGuard
     from loomyard_router.requests.retry_budget import RetryBudget
@@ -99,7 +99,7 @@
         return Ok(self._relay(request, exchange, first))
 
     def open(
-        self, request: RoutedRequest, *, excluded: frozenset[TargetIncarnation], last_event: str
+        self, request: RoutedRequest, *, excluded: frozenset[TargetLife], last_event: str
     ) -> Result[tuple[Exchange, bytes, bool], Fault]:
         """Send until an answer has begun; return it, its first bytes and whether they are all."""
         executed = Executed.NO
--- a/packages/loomyard/src/loomyard/configuration/__init__.py
+++ b/packages/loomyard/src/loomyard/configuration/__init__.py
@@ -7,7 +7,7 @@
 from loomyard.configuration.decision import Decision
 from loomyard.configuration.digest import format_digest
 from loomyard.configuration.fold import decide, fold
-from loomyard.configuration.packing import make_snapshot_notice, pack, unpack
+from loomyard.configuration.packing import make_notice, pack, unpack
 from loomyard.configuration.records import (
     CONFIG_STREAM,
     MAX_CHANGE_BYTES,
@@ -22,7 +22,7 @@
     VersionedObject,
     make_state,
 )
-from loomyard.configuration.validation import find_change_faults
+from loomyard.configuration.validation import find_form_faults
 
 __all__ = [
     "ABSENT",
@@ -41,11 +41,11 @@
     "Verdict",
     "VersionedObject",
     "decide",
-    "find_change_faults",
+    "find_form_faults",
     "fold",
     "fold_record",
     "format_digest",
-    "make_snapshot_notice",
+    "make_notice",
     "make_state",
     "pack",
     "unpack",
--- a/packages/loomyard/src/loomyard/configuration/fold.py
+++ b/packages/loomyard/src/loomyard/configuration/fold.py
@@ -7,7 +7,7 @@
 from loomyard.configuration.change import ABSENT
 from loomyard.configuration.decision import Decision
 from loomyard.configuration.state import ConfigState, Verdict
-from loomyard.configuration.validation import find_change_faults, find_state_faults
+from loomyard.configuration.validation import find_form_faults, find_state_faults
 from loomyard.objects import ref_of
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
 
 def decide(state: ConfigState, change: Change) -> Decision:
     """Return the decision about a change that is the next record of the log."""
-    if faults := find_change_faults(change):
+    if faults := find_form_faults(change):
         return Decision(Verdict.INVALID, "; ".join(faults))
     if stale := _stale_refs(state, change):
         return Decision(Verdict.STALE, "; ".join(stale))
--- a/packages/loomyard/src/loomyard/configuration/packing.py
+++ b/packages/loomyard/src/loomyard/configuration/packing.py
@@ -49,7 +49,7 @@
     )
 
 
-def make_snapshot_notice(state: ConfigState, *, writer: str, written_at: float) -> SnapshotNotice:
+def make_notice(state: ConfigState, *, writer: str, written_at: float) -> SnapshotNotice:
     """Make the record which states that all parts of a snapshot were appended."""
     return SnapshotNotice(
         snapshot_of=state.applied,
--- a/packages/loomyard/src/loomyard/configuration/validation.py
+++ b/packages/loomyard/src/loomyard/configuration/validation.py
@@ -19,7 +19,7 @@
 SERVICE_KIND = Service.__name__
 
 
-def find_change_faults(change: Change) -> list[str]:
+def find_form_faults(change: Change) -> list[str]:
     """Return the faults of a change that do not depend on the state."""
     refs = [ref_of(put.object) for put in change.puts] + [d.ref for d in change.deletions]
     if not refs:
--- a/tests/test_loomyard_router/test_admission/test_target_estimates.py
+++ b/tests/test_loomyard_router/test_admission/test_target_estimates.py
@@ -7,11 +7,11 @@
 from loomyard_router.admission.prefill_estimate import PrefillEstimate
 from loomyard_router.admission.slot_messages import PromptsRead, SlotRequest, SlotsReleased
 from loomyard_router.admission.target_estimates import TargetEstimates
-from loomyard_router.announced.target_incarnation import TargetIncarnation
+from loomyard_router.announced.target_incarnation import TargetLife
 from test_loomyard_router.test_admission.slots_case import Fleet
 
 SLOW, USUAL, FAST = (PrefillEstimate(0.02, speed) for speed in (35_000.0, 50_000.0, 85_000.0))
-INCARNATIONS = [TargetIncarnation(name) for name in ("a", "b", "c", "d")]
+INCARNATIONS = [TargetLife(name) for name in ("a", "b", "c", "d")]
 
 
 class TargetEstimatesTest(unittest.TestCase):
--- a/tests/test_loomyard_router/test_announced/test_target_notices.py
+++ b/tests/test_loomyard_router/test_announced/test_target_notices.py
@@ -8,7 +8,7 @@
 
 from loomyard_router.announced import target_notices
 from loomyard_router.announced.announced_target import AnnouncedTarget
-from loomyard_router.announced.target_incarnation import TargetIncarnation
+from loomyard_router.announced.target_incarnation import TargetLife
 from loomyard_router.announced.target_notice import TargetNotice
 from loomyard_router.announced.target_registry import TargetRegistry
 from loomyard_router.feeds.feed_position import FeedPosition
@@ -70,19 +70,19 @@
         self.assertTrue(self.registry.is_usable(NEXT_INCARNATION))
 
     def test_leaving_received_before_the_target_is_listed_applies(self) -> None:
-        self.registry.record_leaving(TargetIncarnation("v"))
+        self.registry.record_leaving(TargetLife("v"))
         self.registry.apply([AnnouncedTarget(id="v", service="s", address="127.0.0.1:3")], [])
         self.assertEqual(["t", "u"], self.usable())
 
     def test_the_number_of_remembered_leaving_incarnations_is_bounded(self) -> None:
         for number in range(target_notices.MAX_LEAVING + 1):
-            self.registry.notices.record_leaving(TargetIncarnation(f"{number}"))
-        self.assertFalse(self.registry.notices.is_leaving(TargetIncarnation("0")))
-        self.assertTrue(self.registry.notices.is_leaving(TargetIncarnation("1")))
+            self.registry.notices.record_leaving(TargetLife(f"{number}"))
+        self.assertFalse(self.registry.notices.is_leaving(TargetLife("0")))
+        self.assertTrue(self.registry.notices.is_leaving(TargetLife("1")))
 
     def test_listeners_are_notified_once_per_change(self) -> None:
         changes: list[None] = []
-        left: list[TargetIncarnation] = []
+        left: list[TargetLife] = []
         self.registry.subscribe(lambda: changes.append(None))
         self.registry.notices.subscribe(left.append)
         for _ in range(3):
--- a/tests/test_loomyard_router/test_crashing/crash_fleet.py
+++ b/tests/test_loomyard_router/test_crashing/crash_fleet.py
@@ -6,7 +6,7 @@
 
 from attrs import define
 
-from loomyard_router.announced.target_incarnation import TargetIncarnation
+from loomyard_router.announced.target_incarnation import TargetLife
 from loomyard_router.crashes.crash_exchange import CrashExchange
 from loomyard_router.crashes.crash_ledger import BLOCKING_COUNT, CrashLedger
 from loomyard_router.members.membership import Member
@@ -73,9 +73,7 @@
         """Record enough crashes at a router to block a request."""
         ledger = self.routers[name].ledger
         for number in range(BLOCKING_COUNT):
-            ledger.record_crash(
-                fingerprint, number + 1, TargetIncarnation(f"{fingerprint}-{number}")
-            )
+            ledger.record_crash(fingerprint, number + 1, TargetLife(f"{fingerprint}-{number}"))
 
     def not_blocking(self, fingerprint: str) -> list[str]:
         """Return the names of routers that would still send a request."""
--- a/tests/test_loomyard_router/test_crashing/test_crash_ledger.py
+++ b/tests/test_loomyard_router/test_crashing/test_crash_ledger.py
@@ -6,7 +6,7 @@
 import random
 import unittest
 
-from loomyard_router.announced.target_incarnation import TargetIncarnation
+from loomyard_router.announced.target_incarnation import TargetLife
 from loomyard_router.crashes.crash_ledger import (
     BLOCK_SECONDS,
     BLOCKING_COUNT,
@@ -32,7 +32,7 @@
         """Record the crash of a target under requests sent with the next rank."""
         ranks = {one: self.ledger.next_rank(one) for one in fingerprints}
         for fingerprint, rank in ranks.items():
-            self.ledger.record_crash(fingerprint, rank, TargetIncarnation(incarnation))
+            self.ledger.record_crash(fingerprint, rank, TargetLife(incarnation))
 
     def block(self, fingerprint: str = POISON) -> None:
         for number in range(BLOCKING_COUNT):
@@ -47,7 +47,7 @@
     def test_crashes_under_concurrent_copies_count_once(self) -> None:
         # A rack is lost: targets crash together, with a copy of the same request at each.
         for number in range(2 * BLOCKING_COUNT):
-            self.ledger.record_crash(POISON, 1, TargetIncarnation(f"t{number}"))
+            self.ledger.record_crash(POISON, 1, TargetLife(f"t{number}"))
         self.assertEqual(1, self.ledger.crash_count(POISON))
 
     def test_completion_clears_earlier_crashes(self) -> None:
@@ -126,7 +126,7 @@
                 fingerprint=f"request-{rng.randrange(2)}",
                 until=1000.0,
                 cleared=rng.choice((0, 0, 0, 1)),
-                crashes={rng.randrange(1, 4): TargetIncarnation(f"t{rng.randrange(4)}")},
+                crashes={rng.randrange(1, 4): TargetLife(f"t{rng.randrange(4)}")},
             )
             for _ in range(5)
         ]
--- a/tests/test_loomyard_router/test_crashing/test_crash_persister.py
+++ b/tests/test_loomyard_router/test_crashing/test_crash_persister.py
@@ -13,7 +13,7 @@
 from result import Err, Ok, Result
 
 from loomyard.errors import Fault, ResultCode
-from loomyard_router.announced.target_incarnation import TargetIncarnation
+from loomyard_router.announced.target_incarnation import TargetLife
 from loomyard_router.crashes.crash_ledger import BLOCKING_COUNT, RETENTION_SECONDS, CrashLedger
 from loomyard_router.crashes.crash_persister import ISOLATED_SECONDS, CrashPersister
 from loomyard_router.members.membership import Member
@@ -70,7 +70,7 @@
 
     def block(self, ledger: CrashLedger) -> None:
         for number in range(BLOCKING_COUNT):
-            ledger.record_crash(POISON, number + 1, TargetIncarnation(f"t{number}"))
+            ledger.record_crash(POISON, number + 1, TargetLife(f"t{number}"))
 
     def steps(self, persister: CrashPersister, count: int = 4) -> None:
         for _ in range(count):
@@ -111,7 +111,7 @@
 
     def test_a_request_below_the_blocking_count_is_not_written(self) -> None:
         ledger, persister, _ = self.make("r0")
-        ledger.record_crash(POISON, 1, TargetIncarnation("t1"))
+        ledger.record_crash(POISON, 1, TargetLife("t1"))
         self.steps(persister)
         self.assertEqual({}, self.archive.values)
 
--- a/tests/test_loomyard_router/test_crashing/test_liveness_probe.py
+++ b/tests/test_loomyard_router/test_crashing/test_liveness_probe.py
@@ -9,7 +9,7 @@
 from result import Ok
 
 from loomyard.clock import SystemClock
-from loomyard_router.announced.target_incarnation import TargetIncarnation
+from loomyard_router.announced.target_incarnation import TargetLife
 from loomyard_router.announced.target_notice import TargetNotice
 from loomyard_router.announced.target_registry import TargetRegistry
 from loomyard_router.crashes import liveness_probe
@@ -32,7 +32,7 @@
 if TYPE_CHECKING:
     import socket
 
-INCARNATION, OTHER = TargetIncarnation("t"), TargetIncarnation("u")
+INCARNATION, OTHER = TargetLife("t"), TargetLife("u")
 # Results must not depend on the load of the host.
 TIMEOUT = 10.0
 PROBES = 20
@@ -137,7 +137,7 @@
         for name in names:
             self.detector.record_failure(INCARNATION, FailedAttempt(name, 1), answered=answered)
 
-    def blamed(self, known: set[TargetIncarnation]) -> set[str]:
+    def blamed(self, known: set[TargetLife]) -> set[str]:
         return {broken.fingerprint for _, broken in self.detector.pop_crashed(known)}
 
     def test_attempts_that_failed_together_are_blamed_once_after_the_entry_vanishes(self) -> None:
--- a/tests/test_loomyard_router/test_slot_metrics.py
+++ b/tests/test_loomyard_router/test_slot_metrics.py
@@ -7,7 +7,7 @@
 from loomyard.clock import SystemClock
 from loomyard_router.admission.prefill_estimate import PrefillEstimate
 from loomyard_router.admission.slot_metrics import SlotMetrics
-from loomyard_router.announced.target_incarnation import TargetIncarnation
+from loomyard_router.announced.target_incarnation import TargetLife
 from loomyard_router.metrics.exposition import RouterCollector, expose
 from loomyard_router.metrics.request_metrics import RequestMetrics
 from loomyard_router.peers.traffic import TrafficCounters
@@ -21,7 +21,7 @@
             TrafficCounters(),
             lambda: 0,
             slots=SlotMetrics(
-                prefill_estimates=lambda: {TargetIncarnation("e0"): PrefillEstimate(0.5, 40_000.0)},
+                prefill_estimates=lambda: {TargetLife("e0"): PrefillEstimate(0.5, 40_000.0)},
                 refusals=lambda: {"reading": 7},
                 unresponsive_owners=lambda: 2,
             ),
