--- a/packages/loomyard-standins/src/loomyard_standins/benches/__init__.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/__init__.py
@@ -1,1 +1,1 @@
-"""Benches: `make bench-NAME` runs the module of that name."""
+"""Benchmarks; `make bench-NAME` runs the module of that name."""
--- a/packages/loomyard-standins/src/loomyard_standins/benches/account_plan.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/account_plan.py
@@ -1,4 +1,4 @@
-"""What one client account does in a bench."""
+"""Traffic plan of one client account in a benchmark."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Pattern(Enum):
-    """When an account sends."""
+    """Arrival pattern of the requests of an account."""
 
     BACKLOG = "backlog"
     RETURNING = "returning"
@@ -19,11 +19,11 @@
 
 @frozen(kw_only=True)
 class AccountPlan:
-    """An account, its services, the routers its callers land on and how it sends.
+    """A client account: its services, the routers its callers connect to and its arrivals.
 
-    ``callers`` counts requests kept outstanding on each service (BACKLOG, RETURNING) or sent at
-    once (BURSTS); ``rate`` is in requests a second (POISSON, FLOOD). ``mean_cost`` is in tokens,
-    or in seconds for a plain service.
+    ``callers`` is the number of requests kept outstanding on each service (BACKLOG, RETURNING) or
+    sent together (BURSTS); ``rate`` is in requests per second (POISSON, FLOOD). ``mean_cost`` is
+    in tokens for a model service, in seconds for a plain service.
     """
 
     name: str
--- a/packages/loomyard-standins/src/loomyard_standins/benches/batch_engine.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/batch_engine.py
@@ -1,4 +1,4 @@
-"""A model engine for load: one task steps the whole batch."""
+"""Simulated model engine in which one task generates the tokens of the whole batch."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class BatchEngine:
-    """An engine with a bounded batch that takes requests in order of arrival."""
+    """HTTP engine with a bounded batch; requests enter the batch in order of arrival."""
 
     def __init__(self, *, host: str, model: str, slots: int, step_seconds: float) -> None:
         self.meter = BusyMeter()
@@ -48,15 +48,15 @@
         return f"http://{self._server.server_host}:{self._server.server_port}"
 
     def start(self) -> None:
-        """Start to listen; the owner calls ``step``."""
+        """Start listening; the owner must call ``step`` once per generation step."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop to listen."""
+        """Stop listening."""
         self._server.stop()
 
     def step(self) -> None:
-        """Fill the batch from those that wait and make one token of each."""
+        """Admit waiting requests to free batch slots and generate one token of each running one."""
         while self._waiting and len(self._running) < self._slots:
             self._running.append(self._waiting.popleft())
             self.meter.add(1)
--- a/packages/loomyard-standins/src/loomyard_standins/benches/batch_stream.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/batch_stream.py
@@ -1,4 +1,4 @@
-"""One request in the batch of the bench's engine."""
+"""One request in the batch of the simulated engine."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @define(eq=False)
 class BatchStream:
-    """A request: what it asks for, what was made, and the connection that gets it."""
+    """A completion request, the tokens generated so far and the connection of its answer."""
 
     attempt: str
     prompt_tokens: int
@@ -26,7 +26,7 @@
     _unsent: bytes = b""
 
     def step(self) -> bool:
-        """Make a token; true where it was the last."""
+        """Generate one token; return true if the request has ended."""
         if self.cancelled or self.broken:
             return True
         if self.streamed:
@@ -35,7 +35,7 @@
         return self.made >= self.tokens
 
     def close(self) -> None:
-        """Send the usage and the end of the stream."""
+        """Send the usage event, ``[DONE]`` and the last chunk; wake the waiting handler."""
         if self.streamed:
             usage = b'id: %d\ndata: {"choices":[],"usage":%s}\n\n' % (self.made, self.usage())
             done = b"id: %d\ndata: [DONE]\n\n" % (self.made + 1)
@@ -43,18 +43,18 @@
         self.ended.set()
 
     def usage(self) -> bytes:
-        """Return the usage as JSON."""
+        """Return the token counts as a JSON object."""
         total = self.prompt_tokens + self.made
         counts = (self.prompt_tokens, self.made, total)
         return b'{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d}' % counts
 
     def flush(self) -> None:
-        """Send what the socket did not take; the connection blocks again."""
+        """Send what the non-blocking socket did not accept; call once it blocks again."""
         if self._unsent and not self.broken:
             self.connection.sendall(self._unsent)
 
     def _send(self, data: bytes) -> None:
-        # The connection does not block, so that one slow reader does not delay the batch.
+        # The socket is non-blocking so that a slow reader does not delay the whole batch.
         data = self._unsent + data
         try:
             sent = self.connection.send(data)
--- a/packages/loomyard-standins/src/loomyard_standins/benches/bench_fleet.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/bench_fleet.py
@@ -1,4 +1,4 @@
-"""The processes of one run: targets, routers, and a log service in the driver's own."""
+"""Processes of one run: targets, routers, and a log service inside the driver process."""
 
 from __future__ import annotations
 
@@ -53,12 +53,12 @@
 
 
 def router_name(position: int) -> str:
-    """Return the name of the router at a position."""
+    """Return the name of the router at a position in the fleet."""
     return f"router-{position}"
 
 
 class BenchFleet:
-    """Start, ask and end the processes of one run."""
+    """Start, query and stop the processes of one run."""
 
     def __init__(self, workload: Workload, *, policy: str, routers: int) -> None:
         self.workload = workload
@@ -74,7 +74,7 @@
         self._urls: list[str] = []
 
     def start(self) -> None:
-        """Start all processes and wait until the configuration is in force everywhere."""
+        """Start all processes and wait until every router has applied the configuration."""
         self.log.start()
         self.vms.start()
         self._engines = Child("engine_process", json.dumps(self._target_plan()))
@@ -86,7 +86,7 @@
         self._await(lambda status: self._policy != FLEET or status.live == self._count)
 
     def stop(self) -> None:
-        """End all processes."""
+        """Stop all processes."""
         for child in [*self.routers, self._engines]:
             if child is not None:
                 child.kill()
@@ -94,7 +94,7 @@
         self.log.stop()
 
     def cut(self, position: int, names: list[str]) -> None:
-        """Cut a router off from some others; none heals."""
+        """Drop what a router sends to the named routers; an empty list ends the partition."""
         self._ask(position, f"/cut?names={','.join(names)}")
 
     def kill_router(self, position: int) -> None:
@@ -102,25 +102,25 @@
         self.routers[position].kill()
 
     def restart_router(self, position: int) -> None:
-        """Start a killed router anew, under its name and with nothing in memory."""
+        """Restart a killed router under its old name, without any state."""
         child = self._start_router(position)
         self.routers[position] = child
         self._take_ready(position, child.read())
 
     def status(self, position: int) -> RouterStatus:
-        """Ask a router process what it did."""
+        """Return the status and counters of a router process."""
         return RouterStatus(**json.loads(self._ask(position, "/")))
 
     def router_cpu_seconds(self) -> list[float]:
-        """Return the processor time of each router."""
+        """Return the CPU seconds used by each router."""
         return [router.cpu_seconds() for router in self.routers]
 
     def engine_cpu_seconds(self) -> float:
-        """Return the processor time of the process with the targets."""
+        """Return the CPU seconds used by the process that runs the targets."""
         return self._engines.cpu_seconds() if self._engines else 0.0
 
     def end_engines(self) -> dict:
-        """End the targets and return their report."""
+        """Stop the targets and return their report."""
         assert self._engines is not None
         return self._engines.ask(b"end\n")
 
@@ -194,7 +194,7 @@
         until = time.monotonic() + READY_SECONDS
         while not all(ready(self.status(position)) for position in range(self._count)):
             if time.monotonic() > until:
-                raise TimeoutError("the routers do not get ready")
+                raise TimeoutError("the routers did not become ready in time")
             gevent.sleep(POLL_SECONDS)
 
     def _objects(self) -> list[ConfigObject]:
--- a/packages/loomyard-standins/src/loomyard_standins/benches/busy_meter.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/busy_meter.py
@@ -1,4 +1,4 @@
-"""How many slots of a target are busy, over time."""
+"""Number of busy slots of a target over time."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class BusyMeter:
-    """Changes of the number of busy slots, with monotonic times that all processes share."""
+    """Changes of the number of busy slots, at times of the system-wide monotonic clock."""
 
     def __init__(self) -> None:
         self.busy = 0
         self.changes: list[tuple[float, int]] = [(time.monotonic(), 0)]
 
     def add(self, count: int) -> None:
-        """Take in that some slots became busy, or free where negative."""
+        """Record that ``count`` slots became busy, or free if it is negative."""
         self.busy += count
         self.changes.append((time.monotonic(), self.busy))
--- a/packages/loomyard-standins/src/loomyard_standins/benches/caller.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/caller.py
@@ -1,4 +1,4 @@
-"""A caller with one kept connection that counts events and reads no further."""
+"""HTTP caller on one persistent connection that counts events without parsing them."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @frozen
 class Reply:
-    """Status of an answer and ``Retry-After`` in seconds; ``whole`` unless it was cut off."""
+    """An answer: ``complete`` is false if it was truncated, ``retry_after`` is in seconds."""
 
     status: int
     whole: bool
@@ -32,7 +32,7 @@
 
 
 class Caller:
-    """Send requests of one account to one router."""
+    """Send requests of one client account to one router."""
 
     def __init__(self, find_port: Callable[[], int], key: str) -> None:
         self._find_port = find_port
@@ -41,9 +41,9 @@
         self._socket: socket.socket | None = None
 
     def call(self, path: str, body: bytes, hint: float | None, on_tokens: Callable) -> Reply:
-        """Send and read an answer; ``on_tokens`` gets the number of tokens as they come.
+        """Send a request and read its answer; call ``on_tokens`` with the tokens of each read.
 
-        Raises OSError where the router is gone.
+        Raises OSError if the router is unreachable or closes the connection.
         """
         cost = f"Loomyard-Cost-Hint: {hint:.3f}\r\n" if hint is not None else ""
         head = (
@@ -82,7 +82,10 @@
 
 
 def read_reply(connection: socket.socket, on_tokens: Callable) -> Reply:
-    """Read one answer; ``on_tokens`` gets the number of tokens as they come."""
+    """Read one answer; call ``on_tokens`` with the number of tokens of each read.
+
+    Raises ConnectionResetError if the connection ends before the headers do.
+    """
     data = b""
     while HEAD_END not in data:
         block = connection.recv(BLOCK)
@@ -111,7 +114,7 @@
     rest = tail = b""
     while True:
         if on_tokens is not None and data:
-            # Whole events only: an event, or its mark, may be cut in two by the blocks.
+            # Count complete events only, since a read may end within an event or its end mark.
             whole, end, rest = (rest + data).rpartition(EVENT_END)
             if end:
                 whole += end
--- a/packages/loomyard-standins/src/loomyard_standins/benches/child.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/child.py
@@ -1,4 +1,4 @@
-"""Child processes of a bench, ended by their id on every path."""
+"""Child processes of a benchmark, killed by process id when the benchmark exits."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Child:
-    """A module run as a process; its first line of output is a JSON object, ``ready``."""
+    """A module of this package run as a process that prints one JSON object per line."""
 
     def __init__(self, module: str, *arguments: str) -> None:
         command = [sys.executable, "-m", f"loomyard_standins.benches.{module}", *arguments]
@@ -34,15 +34,18 @@
         return self._process.pid
 
     def read(self, seconds: float = READY_SECONDS) -> dict[str, Any]:
-        """Return the next line of output, a JSON object."""
-        with gevent.Timeout(seconds, TimeoutError(f"{self._module} says nothing")):
+        """Return the next JSON object of the output.
+
+        Raises TimeoutError after ``seconds`` without one, RuntimeError if the process ended.
+        """
+        with gevent.Timeout(seconds, TimeoutError(f"{self._module} printed nothing in time")):
             line = self._process.stdout.readline()
         if not line:
-            raise RuntimeError(f"{self._module} ended before it was ready")
+            raise RuntimeError(f"{self._module} exited without printing a result")
         return json.loads(line)
 
     def ask(self, line: bytes, seconds: float = READY_SECONDS) -> dict[str, Any]:
-        """Write a line to standard input and return the answer."""
+        """Write a line to standard input and return the next JSON object of the output."""
         self.write(line)
         return self.read(seconds)
 
@@ -52,7 +55,7 @@
         self._process.stdin.flush()
 
     def cpu_seconds(self) -> float:
-        """Return the processor time used so far; 0 where the process is gone."""
+        """Return the CPU seconds used so far, 0 if the process no longer exists."""
         try:
             with open(f"/proc/{self.pid}/stat") as file:
                 fields = file.read().rpartition(")")[2].split()
@@ -61,7 +64,7 @@
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its end."""
         atexit.unregister(self.kill)
         if self._process.poll() is None:
             self._process.send_signal(signal.SIGKILL)
@@ -69,12 +72,12 @@
 
 
 def announce(**fields: Any) -> None:
-    """Tell the parent a JSON object."""
+    """Print the fields as one JSON object for the parent process."""
     print(json.dumps(fields), flush=True)
 
 
 def end_with_parent() -> None:
-    """End this process when its standard input closes, as it does when the parent ends."""
+    """Exit this process when its standard input closes, which happens if the parent ends."""
     gevent.spawn(_await_end_of_input)
 
 
--- a/packages/loomyard-standins/src/loomyard_standins/benches/claims.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/claims.py
@@ -1,9 +1,9 @@
-"""Appends for each claimed request, and what a claim adds to its latency.
+"""Benchmark of idempotency claims: log appends per request and added latency.
 
 Each case runs routers in one process over a network and a log service with fixed delays. In the
-mode ``hosts`` the routers know each other and write through the hosts of each partition; in the
-mode ``direct`` each writes for itself. The processor time is that of the whole process: claimants,
-hosts, log service and load. The last line is JSON.
+mode ``hosts`` the routers know each other and append through the host of each partition; in the
+mode ``direct`` each router appends by itself. CPU time is that of the whole process: claiming
+routers, hosts, log service and load generator. The last line of output is JSON.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 @frozen(kw_only=True)
 class Case:
-    """What one run is of; ``rate`` is requests a second of all routers, ``delay`` seconds."""
+    """One case; ``rate`` is requests per second of all routers, ``log_delay`` is in seconds."""
 
     mode: str
     routers: int
@@ -58,7 +58,7 @@
 
 @define(kw_only=True)
 class Figures:
-    """What one run gave; latencies in milliseconds, from ``claim`` to the granted ``begin``."""
+    """Results of one case; latencies run from ``claim`` until ``begin`` is granted."""
 
     requests: int = 0
     refused: int = 0
@@ -73,7 +73,7 @@
 
 
 class FixedView:
-    """A membership that does not change."""
+    """Membership with a fixed set of live routers."""
 
     def __init__(self, own: Member, live: list[Member]) -> None:
         self.own = own
@@ -94,7 +94,7 @@
 
 @define(eq=False)
 class Load:
-    """Requests that arrive at random at the routers of a case."""
+    """Load generator: Poisson arrivals at random routers of a case."""
 
     case: Case
     keepers: list[LogClaims]
@@ -103,7 +103,7 @@
     latency: HdrHistogram = field(factory=lambda: HdrHistogram(1, MAX_MICROSECONDS, 3))
 
     def run(self) -> None:
-        """Offer the rate of the case and wait for the last request."""
+        """Send requests at the rate of the case and wait for the last one."""
         numbers = itertools.count()
         draw = random.Random(1)
         started = time.monotonic()
@@ -136,7 +136,7 @@
 
 
 class CountingLog(MemoryLog):
-    """A log in memory that counts bytes."""
+    """In-memory log that counts appends and bytes."""
 
     bytes = 0
 
@@ -146,7 +146,7 @@
 
 
 def run_case(case: Case) -> Figures:
-    """Run one case."""
+    """Run the routers and the load of one case and return its metrics."""
     clock = SystemClock()
     log = CountingLog()
     network = MemoryNetwork()
--- a/packages/loomyard-standins/src/loomyard_standins/benches/comparison.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/comparison.py
@@ -1,4 +1,4 @@
-"""A policy against the others of the same run."""
+"""Comparison of one share policy with the others of the same run."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def compare(figures: dict[str, Any], policy: str) -> dict[str, Any]:
-    """Return for each window the gap over that of each other policy, and utilisations."""
+    """Return the ratios of gap and utilisation to each other policy, for each window."""
     own = figures[policy]
     return {
         window: _compare_window(
@@ -25,7 +25,7 @@
 
 
 def make_table(figures: dict[str, Any]) -> str:
-    """Return gap and utilisation of each window and policy as text."""
+    """Return a text table of gap and utilisation of each window and policy."""
     lines = [f"{'gap in units over weight, utilisation':30}" + "".join(f"{p:>18}" for p in figures)]
     first = next(iter(figures.values()))
     for window in WINDOWS:
--- a/packages/loomyard-standins/src/loomyard_standins/benches/configuration.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/configuration.py
@@ -1,6 +1,6 @@
-"""What a configuration costs: folding, adopting, snapshots, and the way into force.
+"""Benchmark of the configuration: loading, changes, snapshots and propagation to routers.
 
-Run as ``make bench-configuration``; the last line is JSON. Each size has a process of its own.
+Run as ``make bench-configuration``; each size runs in its own process. The last line is JSON.
 """
 
 from __future__ import annotations
@@ -46,14 +46,14 @@
 
 
 class Account:
-    """The account that changes, and the version it is based on."""
+    """The client account that is changed, with the version that its next change is based on."""
 
     def __init__(self) -> None:
         self.version = ABSENT
         self._number = 0
 
     def next_record(self) -> bytes:
-        """Return the next change of the account as a record."""
+        """Return the next change of the account as an encoded record."""
         self._number += 1
         item = make_account(0, weight=1.0 + self._number % 9)
         put = Put(object=item, based_on=self.version)
@@ -61,7 +61,7 @@
 
 
 def make_account(number: int, weight: float = 1.0) -> ClientAccount:
-    """Make an account of the usual size."""
+    """Make a client account with one key and two labels."""
     return ClientAccount(
         metadata=Metadata(
             name=f"account-{number:05}", labels={"tier": "standard", "site": f"s{number % 40}"}
@@ -72,7 +72,7 @@
 
 
 def make_records(size: int) -> list[bytes]:
-    """Return the records that create all accounts."""
+    """Return the encoded records that create ``size`` accounts."""
     records = []
     for start in range(0, size, ACCOUNTS_PER_CHANGE):
         numbers = range(start, min(start + ACCOUNTS_PER_CHANGE, size))
@@ -82,7 +82,7 @@
 
 
 def measure(size: int) -> dict[str, Any]:
-    """Measure one size in this process."""
+    """Measure a configuration of ``size`` accounts in this process."""
     records = [LogRecord(offset, data) for offset, data in enumerate(make_records(size))]
     before, replica = resident_bytes(), ConfigReplica()
     started = time.perf_counter()
@@ -164,7 +164,7 @@
 
 
 def _watch(work: Any) -> tuple[Any, float]:
-    """Return what work returns, and how long another task had to wait for its turn at most."""
+    """Return the result of work and the longest time, in seconds, that it blocked the loop."""
     longest = 0.0
 
     def turn() -> None:
@@ -193,7 +193,7 @@
 
 
 def main() -> int:
-    """Measure each size in a process of its own and print the figures."""
+    """Measure each size in its own process and print the results."""
     if len(sys.argv) > 1:
         print(json.dumps(measure(int(sys.argv[1]))))
         return 0
--- a/packages/loomyard-standins/src/loomyard_standins/benches/control.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/control.py
@@ -1,4 +1,4 @@
-"""``make bench-control``: control traffic under load, at idle, by accounts and by routers."""
+"""Benchmark of control traffic: under load, idle, and by number of accounts and routers."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @frozen(kw_only=True)
 class Point:
-    """A load; ``accounts_per_router`` of none is the load of Cambiavolt."""
+    """One load; 0 ``accounts_per_router`` selects the workload of Cambiavolt."""
 
     name: str
     routers: int = 8
@@ -33,12 +33,12 @@
 
     @property
     def arguments(self) -> list[str]:
-        """Return the flags of the run."""
+        """Return the command-line flags of ``policy_run`` for this load."""
         flags = [f"--routers={self.routers}", f"--accounts-per-router={self.accounts_per_router}"]
         return [*flags, "--idle"] if self.idle else flags
 
 
-# In two batches, so that the processes of one leave part of the machine idle.
+# In two batches, so that the processes of one batch don't use all cores of the host.
 BATCHES = (
     (
         Point(name="full load"),
@@ -56,7 +56,7 @@
 
 
 def main() -> int:
-    """Run the batches one after the other and print one JSON object."""
+    """Run the batches one after another and print one JSON object."""
     parser = argparse.ArgumentParser(description="Measure control traffic of the fleet policy.")
     parser.add_argument("--seconds", type=float, default=10.0, help="seconds of each batch")
     parser.add_argument("--seed", type=int, default=1)
--- a/packages/loomyard-standins/src/loomyard_standins/benches/control_figures.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/control_figures.py
@@ -1,4 +1,4 @@
-"""The figures of control traffic."""
+"""Rates of control traffic between routers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def control_figures(before: Reading, after: Reading) -> dict[str, Any]:
-    """Work out what each router sent between two readings, a second."""
+    """Return per-second rates of control traffic between two counter snapshots."""
     seconds = after.at - before.at
     pairs = list(zip(before.statuses, after.statuses, strict=True))
     bytes_sent = [(b.control_bytes - a.control_bytes) / seconds for a, b in pairs]
--- a/packages/loomyard-standins/src/loomyard_standins/benches/control_workload.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/control_workload.py
@@ -1,4 +1,4 @@
-"""A light load to see how control traffic grows with accounts and routers."""
+"""Light workload that shows how control traffic grows with accounts and routers."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 
 
 def make_control_workload(*, routers: int, accounts_per_router: int) -> Workload:
-    """Make plain calls of accounts that land on one router each and always have a backlog.
+    """Make a workload of plain calls in which each account is always backlogged at one router.
 
-    There are slots for half of the accounts; calls are few, so that what is seen is not the load.
+    There are slots for half of the accounts; calls are few, so that the request rate itself does
+    not dominate the measurement.
     """
     accounts = tuple(
         AccountPlan(
--- a/packages/loomyard-standins/src/loomyard_standins/benches/counting_log.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/counting_log.py
@@ -1,4 +1,4 @@
-"""A log client that counts its appends."""
+"""Log client that counts appends."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CountingLog:
-    """Count what one router appends."""
+    """Forward to a log service and count the appends of one router."""
 
     def __init__(self, log: LogService) -> None:
         self.appends = 0
--- a/packages/loomyard-standins/src/loomyard_standins/benches/delayed_engine.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/delayed_engine.py
@@ -1,4 +1,4 @@
-"""Engine calls that cross data centres."""
+"""Simulated network delay of engine calls between data centres."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class DelayedEngine:
-    """Delay the way out of each call, and the end of its answer on the way back."""
+    """Delay each call to another data centre, and the end of its answer."""
 
     def __init__(self, engine: Engine, data_centre: str) -> None:
         self._engine = engine
@@ -56,7 +56,7 @@
 
 
 class _DelayedAnswer:
-    """An answer from afar; only its end is delayed, which keeps the events cheap."""
+    """Answer from another data centre; only its end is delayed, so that events cost no timer."""
 
     def __init__(self, answer: TargetAnswer) -> None:
         self._answer = answer
--- a/packages/loomyard-standins/src/loomyard_standins/benches/draws.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/draws.py
@@ -1,4 +1,4 @@
-"""Seeded draws of costs, hints and gaps between arrivals."""
+"""Seeded random draws of costs, cost hints and interarrival times."""
 
 from __future__ import annotations
 
@@ -20,43 +20,43 @@
 
 
 class Draws:
-    """The draws of one account; equal for equal seeds, whatever the other accounts do."""
+    """Random draws of one account; they depend on the seed and the account name only."""
 
     def __init__(self, plan: AccountPlan, seed: int) -> None:
         self._plan = plan
         self._random = np.random.default_rng([seed, zlib.crc32(plan.name.encode())])
 
     def tokens(self) -> int:
-        """Return the tokens of an answer, heavy-tailed."""
+        """Draw the number of tokens of an answer from a clipped lognormal distribution."""
         return max(SMALLEST_TOKENS, round(self._heavy_tailed(self._plan.mean_cost)))
 
     def seconds(self) -> float:
-        """Return the seconds of a plain call, heavy-tailed."""
+        """Draw the seconds of a plain call from a clipped lognormal distribution."""
         return max(SMALLEST_SECONDS, self._heavy_tailed(self._plan.mean_cost))
 
     def prompt_tokens(self) -> int:
-        """Return the tokens of a prompt."""
+        """Draw the number of tokens of a prompt."""
         return max(1, round(self._heavy_tailed(min(MEAN_PROMPT_TOKENS, self._plan.mean_cost))))
 
     def hint_of(self, cost: float) -> float | None:
-        """Return a hint that is off by up to a factor either way, or none."""
+        """Draw a cost hint off by up to HINT_FACTOR either way, or none."""
         if self._random.random() > HINTED_SHARE:
             return None
         return cost * HINT_FACTOR ** self._random.uniform(-1.0, 1.0)
 
     def gap(self, rate: float) -> float:
-        """Return the seconds until the next arrival of a Poisson process."""
+        """Draw the seconds until the next arrival of a Poisson process of ``rate`` per second."""
         return self._random.exponential(1.0 / rate)
 
     def choice(self, count: int) -> int:
-        """Return one of a number of positions."""
+        """Draw a position below ``count``."""
         return int(self._random.integers(count))
 
     def fraction(self) -> float:
-        """Return a number between 0 and 1, for full jitter."""
+        """Draw a number between 0 and 1, for full jitter."""
         return float(self._random.random())
 
     def _heavy_tailed(self, mean: float) -> float:
-        # The mean of a lognormal is exp(mu + sigma^2 / 2); the clip takes about 1 % off it.
+        # The mean of a lognormal is exp(mu + sigma^2 / 2); clipping lowers it by about 1 %.
         value = mean * np.exp(self._random.normal(-(COST_SIGMA**2) / 2, COST_SIGMA))
         return float(min(value, LARGEST_OVER_MEAN * mean))
--- a/packages/loomyard-standins/src/loomyard_standins/benches/driver.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/driver.py
@@ -1,4 +1,4 @@
-"""The load driver: callers of all accounts of one run."""
+"""Load driver: the callers of all client accounts of one run."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
 
 
 def key_of(account: str) -> str:
-    """Return the bearer key of an account."""
+    """Return the API key of an account."""
     return f"key-{account}"
 
 
 class Driver:
-    """Run the callers until the timeline ends."""
+    """Run the callers until the timeline ends and record their requests in the trace."""
 
     def __init__(
         self, workload: Workload, timeline: Timeline, trace: Trace, landing: Landing, seed: int
@@ -63,7 +63,7 @@
         self._tasks = Pool()
 
     def run(self, *, idle: bool = False) -> None:
-        """Send until the end, then break all callers off; when idle, send nothing."""
+        """Send requests until the end, then kill all callers; when idle, send nothing."""
         gevent.spawn(self._measure_lateness)
         for number, plan in enumerate(self._accounts if not idle else ()):
             start = _STARTS[plan.pattern]
@@ -150,7 +150,7 @@
         return Caller(lambda: self._landing.port(router), key_of(account.plan.name))
 
     def _call(self, account: _Account, service: str, caller: Caller) -> float:
-        """Send one request; return the seconds to wait before the next."""
+        """Send one request; return the seconds to wait before the next one."""
         wait = self._trace.send(account.number, self._services[service])
         try:
             if self._types[service] is ServiceType.PLAIN:
--- a/packages/loomyard-standins/src/loomyard_standins/benches/engine_process.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/engine_process.py
@@ -1,4 +1,4 @@
-"""A process with all targets of one run; a line on standard input ends the measurement."""
+"""Process that runs all targets of a run; a line on standard input ends the measurement."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def main() -> int:
-    """Serve until a line or the end of standard input comes, then report."""
+    """Serve until standard input gives a line or ends; after a line print the report."""
     plan = json.loads(sys.argv[1])
     step = plan["step_seconds"]
     targets = [_make(item, position, step) for position, item in enumerate(plan["targets"])]
@@ -49,7 +49,7 @@
             due += step
             now = time.monotonic()
             if now > due:
-                # A lost step is not made up for: the engine was slower than it should be.
+                # A late step is not caught up, so the engine runs slower than configured.
                 self._late += 1
                 due = now
             gevent.sleep(max(0.0, due - now))
--- a/packages/loomyard-standins/src/loomyard_standins/benches/events.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/events.py
@@ -1,4 +1,4 @@
-"""The events of a run: a kill, an empty restart, a partition that heals, the log down."""
+"""Fault injection of a run: log outage, router kill and restart, partition and its end."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Events:
-    """Let the events happen to a fleet of several routers when they are due."""
+    """Inject the faults into a fleet of several routers at the times of the timeline."""
 
     def __init__(self, fleet: BenchFleet, landing: Landing, timeline: Timeline) -> None:
         self._fleet = fleet
@@ -30,7 +30,7 @@
         self.configured_after: float | None = None
 
     def run(self, started: float) -> None:
-        """Wait for each event and let it happen."""
+        """Wait for the start of each phase and inject its fault."""
         for phase, happen in (
             (Phase.KILLED, self._kill),
             (Phase.RESTARTED, self._restart),
--- a/packages/loomyard-standins/src/loomyard_standins/benches/fairness.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/fairness.py
@@ -1,4 +1,4 @@
-"""``make bench-fairness``: the share policies side by side under the same load."""
+"""Benchmark of fairness: all share policies at the same time under the same workload."""
 
 from __future__ import annotations
 
@@ -84,8 +84,8 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--calm", type=float, default=12.0)
     parser.add_argument("--flood", type=float, default=8.0)
-    parser.add_argument("--plot", default="", help="picture file of service over time")
-    parser.add_argument("--event", type=float, default=5.0, help="seconds of each event; 0: none")
+    parser.add_argument("--plot", default="", help="image file for the plot of service over time")
+    parser.add_argument("--event", type=float, default=5.0, help="seconds of each fault; 0: none")
     return parser.parse_args()
 
 
--- a/packages/loomyard-standins/src/loomyard_standins/benches/figures.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/figures.py
@@ -1,4 +1,4 @@
-"""The figures of one run."""
+"""Metrics of one run."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     report: dict,
     readings: tuple[Reading, Reading],
 ) -> dict[str, Any]:
-    """Work the figures out; control and processor time are of calm and flood together."""
+    """Return the metrics of a run; control traffic and CPU time cover calm and flood together."""
     windows = WindowFigures(workload, trace, report)
     figures: dict[str, Any] = {
         phase.value: windows.all_of(_window(timeline, phase)) for phase in (Phase.CALM, Phase.FLOOD)
--- a/packages/loomyard-standins/src/loomyard_standins/benches/gap.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/gap.py
@@ -1,4 +1,4 @@
-"""The fairness gap of a trace of service over time."""
+"""Fairness gap: largest difference of weighted service between two backlogged accounts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @frozen(kw_only=True)
 class Gap:
-    """The largest gap, in units over weight, and the two accounts it stands between."""
+    """Largest gap, in cost units divided by weight, and the positions of its two accounts."""
 
     units: float = 0.0
     accounts: tuple[int, int] = (0, 0)
@@ -19,10 +19,10 @@
 def contender_gap(
     service: np.ndarray, backlog: np.ndarray, weights: np.ndarray, window: np.ndarray
 ) -> Gap:
-    """Return the largest gap among accounts that contend for one service.
+    """Return the largest gap between two accounts backlogged on the same service.
 
-    Shapes: ``service`` and ``backlog`` account, service, bucket; ``weights`` account;
-    ``window`` bucket.
+    Shapes: ``service`` and ``backlog`` (account, service, bucket); ``weights`` (account,);
+    ``window`` (bucket,).
     """
     gaps = [
         _largest_gap(
@@ -36,7 +36,7 @@
 def fleet_gap(
     service: np.ndarray, backlog: np.ndarray, weights: np.ndarray, window: np.ndarray
 ) -> Gap:
-    """Return the largest gap of all services together, while two accounts contend for one."""
+    """Return the largest gap in total service while two accounts share a backlogged service."""
     total = service.sum(axis=1)
     return _largest_gap(total, weights, lambda i, j: (backlog[i] & backlog[j]).any(axis=0), window)
 
@@ -56,6 +56,6 @@
 
 
 def runs(mask: np.ndarray) -> list[tuple[int, int]]:
-    """Return the half-open runs of true values."""
+    """Return the half-open index ranges of consecutive true values."""
     edges = np.flatnonzero(np.diff(np.concatenate([[False], mask, [False]]).astype(np.int8)))
     return list(zip(edges[::2].tolist(), edges[1::2].tolist(), strict=True))
--- a/packages/loomyard-standins/src/loomyard_standins/benches/http_request.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/http_request.py
@@ -1,4 +1,4 @@
-"""Requests as the stand-in targets of the benches read them from a socket."""
+"""Minimal HTTP/1.1 server side of the simulated targets."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @frozen
 class HttpRequest:
-    """Method, path and query, headers with lower-case names, and body."""
+    """A request; ``path`` includes the query, header names are lower case."""
 
     method: str
     path: str
@@ -20,14 +20,14 @@
 
 
 class RequestReader:
-    """Read requests from a kept connection."""
+    """Read requests from a persistent connection."""
 
     def __init__(self, connection: socket.socket) -> None:
         self._connection = connection
         self._buffer = b""
 
     def read(self) -> HttpRequest | None:
-        """Return the next request; none where the connection ended."""
+        """Return the next request, or none if the connection ended."""
         while HEAD_END not in self._buffer:
             if not self._fill():
                 return None
@@ -53,12 +53,12 @@
 
 
 def send_at_once(connection: socket.socket) -> None:
-    """Send small writes without waiting for the acknowledgement of the one before."""
+    """Set TCP_NODELAY, so that small writes are sent at once."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def answer_json(connection: socket.socket, body: bytes, attempt: str = "") -> None:
-    """Send a whole answer."""
+    """Send a JSON answer with status 200."""
     head = (
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
         f"Content-Length: {len(body)}\r\nLoomyard-Attempt: {attempt}\r\n\r\n"
--- a/packages/loomyard-standins/src/loomyard_standins/benches/locality.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/locality.py
@@ -1,4 +1,4 @@
-"""Measure what prefix locality brings and costs: hit rate, waits and balance."""
+"""Benchmark of prefix locality: cache hit rate, latency, slot waits and load imbalance."""
 
 from __future__ import annotations
 
@@ -50,9 +50,9 @@
 
 @frozen(kw_only=True)
 class Mode:
-    """A way to choose: whether the prefix counts, the margin, and whether events are heard.
+    """A way to choose targets: by prefix or not, locality margin, cache events received or not.
 
-    ``rate`` is in requests a second.
+    ``rate`` is in requests per second.
     """
 
     name: str
@@ -75,7 +75,7 @@
 
 @define(eq=False)
 class Run:
-    """One run of one mode."""
+    """One run of one mode: its engines, routers and measurements."""
 
     mode: Mode
     servers: list[EngineServer]
@@ -90,7 +90,7 @@
     done: int = 0
 
     def request(self, number: int, router: KnownTargets, prompt: str, tokens: int) -> None:
-        """Choose a target with a free slot, send and wait for the answer."""
+        """Choose a target with a free slot, send a request and read its answer."""
         document = {"model": SERVICE, "prompt": prompt, "max_tokens": tokens}
         prefix = prompt_prefix_digest(document)
         started = time.monotonic()
@@ -118,7 +118,7 @@
         self.done += 1
 
     def watch(self) -> None:
-        """Sample how unevenly the slots are used."""
+        """Sample the difference in slot use between the busiest and the idlest target."""
         while True:
             busy = [self.in_flight[target.metadata.name] for target in self.targets]
             self.spreads.append((max(busy) - min(busy)) / SLOTS)
@@ -139,7 +139,7 @@
 
 
 def main() -> int:
-    """Run all modes on the same arrivals and print one JSON object."""
+    """Run each mode with the same random seed and print one JSON object."""
     figures = {mode.name: _measure(mode) for mode in MODES}
     print(json.dumps({"bench": "locality", "seed": SEED, "modes": figures}))
     return 0
--- a/packages/loomyard-standins/src/loomyard_standins/benches/machine.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/machine.py
@@ -1,4 +1,4 @@
-"""The machine under a bench."""
+"""CPU idle time of the host that runs a benchmark."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 
 
 def idle_core_seconds() -> float:
-    """Return the seconds that all cores together were idle since the machine started."""
+    """Return the idle seconds since boot, summed over all cores."""
     with open("/proc/stat") as file:
         return int(file.readline().split()[IDLE_FIELD]) / os.sysconf("SC_CLK_TCK")
--- a/packages/loomyard-standins/src/loomyard_standins/benches/orders.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/orders.py
@@ -1,4 +1,4 @@
-"""Measure how long a service that no target has loaded waits for its orders, over HTTP."""
+"""Benchmark of load orders: time until a service that no engine has loaded answers."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 
 
 def main() -> int:
-    """Order one service, stop the keeper, order another; print one JSON object.
+    """Call one unloaded service, stop the order controller, call another; print JSON.
 
-    The keeper gets no calls, so all that it knows of them comes from the others.
+    The order controller gets no calls itself, so it learns of the demand from the other routers.
     """
     fleet = start_fleet(routers=3, engines=2, policy="fleet")
     engines = [EngineServer(model="assistant", checks_fencing=checks) for checks in (True, False)]
@@ -80,7 +80,7 @@
 
 
 def _await_service(routers: list[Application], service: str) -> dict[str, object]:
-    """Call a service at each router in turn until one answers."""
+    """Call a service at the routers in turn until one answers with 200."""
     started = time.monotonic()
     statuses: Counter[str] = Counter()
     number = 0
--- a/packages/loomyard-standins/src/loomyard_standins/benches/peer_network.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/peer_network.py
@@ -1,4 +1,4 @@
-"""The network between router processes: delays between data centres, and partitions."""
+"""Simulated network between router processes: delays between data centres, partitions."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PeerNetwork:
-    """Stand between a router and its peers; what is cut vanishes without a word."""
+    """Wrap the peer links and datagrams of a router to delay or silently drop messages."""
 
     def __init__(self, parts: RouterComponents) -> None:
         self._members: Membership = parts.members
@@ -27,7 +27,7 @@
             self._wrap_datagrams(parts.members._datagrams)
 
     def cut(self, names: set[str]) -> None:
-        """Drop all that goes to some routers from now on; the empty set heals."""
+        """Drop all messages to the named routers from now on; an empty set ends the partition."""
         self._cut_names = names
         found = [self._members.find(name) for name in names]
         self._cut_addresses = {member.address for member in found if member is not None}
@@ -46,7 +46,9 @@
         def delayed_request(to: str, message: Any, deadline: float) -> Result[Any, Fault]:
             if to in self._cut_names:
                 gevent.sleep(ONE_WAY_SECONDS)
-                return Err(Fault(code=ResultCode.PEER_UNREACHABLE, detail=f"{to} is cut off"))
+                return Err(
+                    Fault(code=ResultCode.PEER_UNREACHABLE, detail=f"{to} is partitioned off")
+                )
             if not self._is_near(to):
                 gevent.sleep(2 * ONE_WAY_SECONDS)
             return request(to, message, deadline)
--- a/packages/loomyard-standins/src/loomyard_standins/benches/places.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/places.py
@@ -1,4 +1,4 @@
-"""Data centres of the benches, told by the second last byte of a loopback address."""
+"""Data centres of the benchmarks; the third byte of a loopback address is their number."""
 
 from __future__ import annotations
 
@@ -19,6 +19,6 @@
 
 
 def data_centre_of_url(url: str) -> str:
-    """Return the data centre of a target by its address."""
+    """Return the data centre of a target by the host of its URL."""
     host = urlsplit(url).hostname or ""
     return DATA_CENTRES[int(host.split(".")[2]) - 1]
--- a/packages/loomyard-standins/src/loomyard_standins/benches/plain_target.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/plain_target.py
@@ -1,4 +1,4 @@
-"""A plain server for load: it works as many seconds as the request says."""
+"""Simulated plain service whose work takes the seconds that the request states."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class PlainTarget:
-    """A plain server with a bounded number of workers."""
+    """HTTP server with a bounded number of workers."""
 
     def __init__(self, *, host: str, slots: int) -> None:
         self.meter = BusyMeter()
@@ -31,11 +31,11 @@
         return f"http://{self._server.server_host}:{self._server.server_port}"
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._server.start()
 
     def step(self) -> None:
-        """Do nothing: only engines step."""
+        """Do nothing; only engines work in steps."""
 
     def _serve(self, connection: socket.socket, _: object) -> None:
         send_at_once(connection)
--- a/packages/loomyard-standins/src/loomyard_standins/benches/plots.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/plots.py
@@ -22,8 +22,8 @@
 def plot_service(
     workload: Workload, timeline: Timeline, traces: dict[str, Path], file: Path
 ) -> None:
-    """Write one picture; ``traces`` gives the file of each policy's trace."""
-    # Here, as only this needs the library.
+    """Write one image to ``file``; ``traces`` maps each policy to its trace file."""
+    # Imported here, since only plots need the library.
     import matplotlib
 
     matplotlib.use("Agg")
--- a/packages/loomyard-standins/src/loomyard_standins/benches/policy_run.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/policy_run.py
@@ -1,4 +1,4 @@
-"""One run of one policy, as a process of its own that prints its figures."""
+"""Process that runs the workload under one share policy and prints its metrics."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def main() -> int:
-    """Run and print one JSON object."""
+    """Wait for a line on standard input, run the workload and print one JSON object."""
     options = _parse()
     workload = _make_workload(options)
     timeline = Timeline(calm=options.calm, flood=options.flood, event=options.event)
@@ -84,7 +84,7 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--calm", type=float, default=20.0)
     parser.add_argument("--flood", type=float, default=10.0)
-    parser.add_argument("--accounts-per-router", type=int, default=0, help="0: those of the user")
+    parser.add_argument("--accounts-per-router", type=int, default=0, help="0: those of --user")
     parser.add_argument("--idle", action="store_true", help="send nothing")
     parser.add_argument("--event", type=float, default=0.0)
     parser.add_argument("--trace", default="", help="file for the service over time")
--- a/packages/loomyard-standins/src/loomyard_standins/benches/reading.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/reading.py
@@ -1,4 +1,4 @@
-"""Counters of a run, read at one moment."""
+"""Snapshot of the counters of a run."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @frozen(kw_only=True)
 class Reading:
-    """Monotonic time, processor seconds used by each process, and what the routers tell."""
+    """Monotonic time, CPU seconds used by each process and status of each router."""
 
     at: float
     driver_cpu: float
@@ -25,7 +25,7 @@
 
 
 def read_counters(fleet: BenchFleet) -> Reading:
-    """Read all counters now."""
+    """Read the counters of all processes of a fleet."""
     return Reading(
         at=time.monotonic(),
         driver_cpu=time.process_time(),
--- a/packages/loomyard-standins/src/loomyard_standins/benches/relay.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/relay.py
@@ -1,6 +1,6 @@
-"""Measure the relay: the way through a router against a direct connection, in one run.
+"""Benchmark of streaming through a router against direct connections to the engines.
 
-Router, engines and callers run in processes of their own. Prints JSON in the last line.
+Router, engines and callers run in processes of their own. The last line of output is JSON.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 def main() -> int:
-    """Run the bench."""
+    """Start all processes, measure and print one JSON object."""
     log = LogServer(MemoryLog())
     log.start()
     engines = [_spawn("loomyard_standins.benches.relay_engine") for _ in range(ENGINES)]
@@ -126,7 +126,7 @@
 
 def _memory_per_stream(pid: int, address: list[str]) -> int:
     for _ in range(2):
-        # The first round lets the allocator grow, so that the second shows the streams.
+        # The first round makes the memory allocator grow; the second shows the streams' memory.
         client = _client(
             address, "--streams", IDLE_STREAMS, "--tokens", 40, "--step", 0.1, "--seconds", 4.0
         )
--- a/packages/loomyard-standins/src/loomyard_standins/benches/relay_client.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/relay_client.py
@@ -1,4 +1,4 @@
-"""A caller for the relay bench: streams that are counted, or probes of the first token."""
+"""Caller of the relay benchmark: counts events of streams or probes time to first token."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Counts:
-    """What all streams of this process brought."""
+    """Events and bytes received by all streams of this process."""
 
     def __init__(self) -> None:
         self.events = 0
@@ -32,14 +32,14 @@
 
 
 def main() -> int:
-    """Run streams or probes for some seconds and print what came as JSON."""
+    """Run streams or probes for ``--seconds`` and print the results as JSON."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--address", required=True, nargs="+")
     parser.add_argument("--streams", type=int, default=1)
     parser.add_argument("--tokens", type=int, default=1000)
     parser.add_argument("--step", type=float, default=0.0)
     parser.add_argument("--seconds", type=float, default=5.0)
-    parser.add_argument("--probes", type=float, default=0.0, help="probes a second")
+    parser.add_argument("--probes", type=float, default=0.0, help="probes per second")
     options = parser.parse_args()
     print(json.dumps(_probe(options) if options.probes else _stream(options)), flush=True)
     return 0
--- a/packages/loomyard-standins/src/loomyard_standins/benches/relay_engine.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/relay_engine.py
@@ -1,4 +1,4 @@
-"""An engine for the relay bench: events of fixed form, each sent by itself."""
+"""Engine of the relay benchmark: sends constant events, one per write."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def main() -> int:
-    """Serve until the process is ended; print the port."""
+    """Print the port and serve until the process is killed."""
     server = StreamServer(("127.0.0.1", 0), _handle)
     server.start()
     print(server.server_port, flush=True)
--- a/packages/loomyard-standins/src/loomyard_standins/benches/router_process.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/router_process.py
@@ -1,4 +1,4 @@
-"""A router process of a bench: the product's application with delays between data centres."""
+"""Router process of a benchmark: the product with delays between data centres."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def main() -> int:
-    """Serve until the parent ends."""
+    """Serve until the parent process ends."""
     logging.basicConfig(level=logging.ERROR)
     settings = parse_settings(sys.argv[1:], os.environ).unwrap()
     platform = make_platform(settings)
@@ -55,7 +55,7 @@
 
 
 class _Status:
-    """What the bench reads of a router, and the cuts that it makes."""
+    """WSGI application that returns the router status and sets partitions (``/cut``)."""
 
     def __init__(self, application: Application, log: CountingLog) -> None:
         self._parts = application.components
--- a/packages/loomyard-standins/src/loomyard_standins/benches/router_status.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/router_status.py
@@ -1,4 +1,4 @@
-"""What a router process of a bench tells of itself."""
+"""Status of a router process of a benchmark."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 @frozen(kw_only=True)
 class RouterStatus:
-    """Configuration version in force, live members, and counts since the process started.
+    """Configuration version in force, number of live members, and counts since process start.
 
-    ``kinds`` gives messages and bytes sent by message type.
+    ``kinds`` maps each message type to the messages and bytes sent.
     """
 
     version: int
--- a/packages/loomyard-standins/src/loomyard_standins/benches/slot_moves.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slot_moves.py
@@ -1,4 +1,4 @@
-"""How many slots come to a router by lease."""
+"""Count of the slots leased to a router."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class SlotMoves:
-    """Count the slots that the allocator gives to a router under the ``fleet`` policy."""
+    """Count the slots that the allocator leases to a router under the ``fleet`` policy."""
 
     def __init__(self, policy: SharePolicy) -> None:
         self.count = 0
--- a/packages/loomyard-standins/src/loomyard_standins/benches/slots.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slots.py
@@ -1,4 +1,4 @@
-"""Measure the slot estimate against engines whose batch limit the router does not know."""
+"""Benchmark of slot estimation at engines whose batch limit the router does not know."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @define(eq=False)
 class Subject:
-    """An engine under constant backlog, either at the estimate or at the configured slots."""
+    """An engine under constant backlog, driven with the estimated or the configured slots."""
 
     server: EngineServer
     target: Target
@@ -51,11 +51,14 @@
     samples: list[tuple[float, int, int, int]] = field(factory=list)
 
     def slots(self, directory: KnownTargets) -> int:
-        """Return the bound that the driver keeps."""
+        """Return the maximum number of concurrent requests."""
         return directory.slots(self.target) if self.estimated else CONFIGURED_SLOTS
 
     def figures(self) -> dict[str, float]:
-        """Return what was measured after settling, and when the limit was first reached."""
+        """Return the metrics after settling, and the seconds until the limit was first reached.
+
+        ``reached_after_s`` is -1 if it never was.
+        """
         settled = [s for s in self.samples if s[0] >= SETTLED_AFTER]
         reached = [at for at, slots, _, _ in self.samples if slots >= self.limit]
         count = len(settled)
--- a/packages/loomyard-standins/src/loomyard_standins/benches/timeline.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/timeline.py
@@ -1,4 +1,4 @@
-"""When the parts of a run begin and end, in seconds since its start."""
+"""Start and end of the phases of a run, in seconds since its start."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Phase(Enum):
-    """A part of a run; from ``KILLED`` on the log service is down."""
+    """Phase of a run; from ``KILLED`` on the log service is down."""
 
     CALM = "calm"
     FLOOD = "flood"
@@ -29,7 +29,7 @@
 
 @frozen(kw_only=True)
 class Timeline:
-    """The seconds of each part: calm, flood, and each event where events are asked for."""
+    """Seconds of the calm phase, the flood phase and each fault phase (0: no faults)."""
 
     calm: float
     flood: float
@@ -37,24 +37,25 @@
 
     @property
     def phases(self) -> tuple[Phase, ...]:
-        """Return the parts of this run, in order."""
+        """Return the phases of this run, in order."""
         return (Phase.CALM, Phase.FLOOD, *(EVENTS if self.event else ()))
 
     @property
     def end(self) -> float:
+        """Return the length of the run."""
         return self.start_of(self.phases[-1]) + self._length(self.phases[-1])
 
     def start_of(self, phase: Phase) -> float:
-        """Return when a part begins."""
+        """Return the start of a phase."""
         before = self.phases[: self.phases.index(phase)]
         return WARM_UP_SECONDS + sum(self._length(earlier) for earlier in before)
 
     def end_of(self, phase: Phase) -> float:
-        """Return when a part ends."""
+        """Return the end of a phase."""
         return self.start_of(phase) + self._length(phase)
 
     def window(self, start: float, stop: float) -> np.ndarray:
-        """Return for each bucket whether it lies between two times."""
+        """Return a mask of the buckets that begin in ``start`` <= t < ``stop``."""
         at = np.arange(round(self.end / BUCKET_SECONDS)) * BUCKET_SECONDS
         return (at >= start) & (at < stop)
 
--- a/packages/loomyard-standins/src/loomyard_standins/benches/trace.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/trace.py
@@ -1,4 +1,4 @@
-"""What callers saw over time: service received and requests that waited."""
+"""Trace of a run as callers see it: service received over time, and all requests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @define(eq=False)
 class Wait:
-    """A request of an account on a service; ``served`` is when its first service came."""
+    """A request; ``served`` is the time of its first service, ``account`` a position."""
 
     account: int
     service: int
@@ -22,7 +22,7 @@
 
 
 class Trace:
-    """Service in units, in buckets of account, service and time; times are monotonic."""
+    """Service in cost units, of shape (account, service, bucket); times are monotonic."""
 
     def __init__(self, *, accounts: int, services: int, seconds: float) -> None:
         self.started = time.monotonic()
@@ -32,13 +32,13 @@
         self.events = 0
 
     def send(self, account: int, service: int) -> Wait:
-        """Take in that a request was sent."""
+        """Record that a request was sent now."""
         wait = Wait(account, service, time.monotonic())
         self.waits.append(wait)
         return wait
 
     def add(self, wait: Wait, units: float) -> None:
-        """Take in that a request just received service."""
+        """Record that a request received ``units`` of service now."""
         now = time.monotonic()
         if wait.served is None:
             wait.served = now
@@ -47,7 +47,7 @@
             self.service[wait.account, wait.service, bucket] += units
 
     def add_spread(self, wait: Wait, units: float, seconds: float) -> None:
-        """Take in service that ran evenly over the seconds just past."""
+        """Record service received evenly over the last ``seconds``."""
         now = time.monotonic()
         wait.served = max(wait.sent, now - seconds)
         first, last = self._bucket(wait.served), self._bucket(now)
@@ -56,12 +56,12 @@
         self.service[wait.account, wait.service, first : last + 1] += share
 
     def refuse(self, wait: Wait) -> None:
-        """Take in that a request was refused."""
+        """Record that a request was refused, which leaves it out of the backlog."""
         wait.refused = True
         wait.served = wait.sent
 
     def backlog(self) -> np.ndarray:
-        """Return for account, service and bucket whether something waited all the while."""
+        """Return a mask (account, service, bucket): a request waited during the whole bucket."""
         accounts, services, _ = self.service.shape
         whole = np.zeros((accounts, services, self.buckets), dtype=bool)
         after_end = self.started + (self.buckets + 1) * BUCKET_SECONDS
--- a/packages/loomyard-standins/src/loomyard_standins/benches/utilisation.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/utilisation.py
@@ -1,4 +1,4 @@
-"""The share of slots busy while something waits for them."""
+"""Slot utilisation: fraction of slots busy while requests wait for them."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @frozen(kw_only=True)
 class ServiceLoad:
-    """Busy slot-seconds of a service at each bucket edge, from all its targets, and its slots."""
+    """Slots of a service, and its cumulative busy slot-seconds at each bucket edge."""
 
     slots: int
     busy: np.ndarray
 
 
 def busy_at_edges(changes: list[tuple[float, int]], started: float, buckets: int) -> np.ndarray:
-    """Integrate the number of busy slots up to each bucket edge."""
+    """Return the integral of the busy slots up to each bucket edge, in slot-seconds."""
     times = np.array([at for at, _ in changes])
     counts = np.array([count for _, count in changes], dtype=float)
     edges = started + np.arange(buckets + 1) * BUCKET_SECONDS
@@ -27,9 +27,9 @@
 
 
 def utilisation(loads: list[ServiceLoad], backlog: np.ndarray, window: np.ndarray) -> float:
-    """Return busy slot-seconds over slots while a service has work that waits.
+    """Return busy over available slot-seconds, counting buckets with a backlog only (else 1).
 
-    Shapes: ``backlog`` account, service, bucket; ``window`` bucket.
+    Shapes: ``backlog`` (account, service, bucket); ``window`` (bucket,).
     """
     busy = offered = 0.0
     for number, load in enumerate(loads):
--- a/packages/loomyard-standins/src/loomyard_standins/benches/window_figures.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/window_figures.py
@@ -1,4 +1,4 @@
-"""The figures of one window of a run: gaps in units over weight, times in ms, percent."""
+"""Metrics of a window of a run: gaps in cost units over weight, times in ms, percentages."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class WindowFigures:
-    """What callers saw and targets reported, ready to be cut into windows of buckets."""
+    """Computes metrics of any window (mask of buckets) from the trace and the target report."""
 
     def __init__(self, workload: Workload, trace: Trace, report: dict) -> None:
         self._workload = workload
@@ -28,7 +28,7 @@
         self._backlog_on_one = self._backlog & np.array(on_one)[:, None, None]
 
     def short_of(self, window: np.ndarray) -> dict[str, Any]:
-        """Return gaps and utilisation of a window."""
+        """Return the fairness gaps and the slot utilisation of a window."""
         service, backlog, weights = self._trace.service, self._backlog, self._weights
         one = contender_gap(service, self._backlog_on_one, weights, window)
         return {
@@ -39,7 +39,7 @@
         }
 
     def all_of(self, window: np.ndarray) -> dict[str, Any]:
-        """Return all figures of a window."""
+        """Return all metrics of a window, with latency and throughput."""
         seconds = max(1, window.sum()) * BUCKET_SECONDS
         queue = self._queue_times(window)
         p50, p99 = (np.percentile(queue, [50, 99]) * 1000).tolist() if queue.size else (0.0, 0.0)
@@ -80,7 +80,7 @@
         }
 
     def _queue_times(self, window: np.ndarray) -> np.ndarray:
-        """Return the seconds to the first service of the smallest account, sent in a window."""
+        """Return the seconds from sending to first service, of the smallest account's requests."""
         names = [plan.name for plan in self._workload.accounts]
         smallest = names.index(self._workload.smallest)
         trace = self._trace
@@ -96,7 +96,7 @@
 
 
 def round_figure(value: float) -> float:
-    """Round to four digits."""
+    """Round to four significant digits."""
     return float(f"{value:.4g}")
 
 
--- a/packages/loomyard-standins/src/loomyard_standins/benches/workload.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/workload.py
@@ -1,4 +1,4 @@
-"""The two users of the benches: their services, targets and client accounts."""
+"""Workloads of the two modelled deployments: services, targets and client accounts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @frozen(kw_only=True)
 class ServicePlan:
-    """A service and the number of its targets."""
+    """A service, the number of its targets and the slots of each."""
 
     name: str
     type: ServiceType
@@ -24,7 +24,7 @@
 
 @frozen(kw_only=True)
 class Workload:
-    """A user; ``smallest`` and ``flooding`` name accounts."""
+    """A workload; ``smallest`` and ``flooding`` name accounts, ``step_seconds`` is per token."""
 
     name: str
     step_seconds: float
@@ -35,7 +35,7 @@
 
 
 def make_workload(user: str) -> Workload:
-    """Make the workload of a user."""
+    """Make the workload of a deployment, one of ``USERS``."""
     first, second, plain = _SERVICES[user]
     counts = _TARGETS[user]
     return Workload(
@@ -79,8 +79,8 @@
             mean_cost=80,
             callers=12,
         ),
-        # Of equal means: routers count a few ms of the way as target time, which would look as
-        # a drift between accounts of unequal ones.
+        # Equal means: routers count a few ms of network time as target time, which would look
+        # like unfairness between accounts whose calls differ in length.
         _backlog("plain-1", plain, (2,), PLAIN_SECONDS),
         _backlog("plain-2", plain, (6,), PLAIN_SECONDS),
         AccountPlan(
--- a/tests/test_loomyard_standins/test_bench_engine.py
+++ b/tests/test_loomyard_standins/test_bench_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the benches' engine and caller against each other."""
+"""Tests of the simulated engine and the caller of the benchmarks against each other."""
 
 from __future__ import annotations
 
--- a/tests/test_loomyard_standins/test_bench_gap.py
+++ b/tests/test_loomyard_standins/test_bench_gap.py
@@ -1,4 +1,4 @@
-"""Tests of the gap and the utilisation that the benches tell."""
+"""Tests of the fairness gap and the utilisation computed by the benchmarks."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def brute_force(service: np.ndarray, joint: np.ndarray, weights: np.ndarray) -> float:
-    """Try each pair of accounts and each interval in which both are backlogged."""
+    """Return the largest gap over all account pairs and intervals with both backlogged."""
     worst = 0.0
     for i, j in combinations(range(len(weights)), 2):
         for start in range(BUCKETS):
--- a/tests/test_loomyard_standins/test_bench_run.py
+++ b/tests/test_loomyard_standins/test_bench_run.py
@@ -1,4 +1,4 @@
-"""Tests of the parts of a bench run that need no process."""
+"""Tests of the components of a benchmark run that need no child process."""
 
 from __future__ import annotations
 
