--- a/packages/loomyard-standins/src/loomyard_standins/benches/batch_engine.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/batch_engine.py
@@ -13,8 +13,8 @@
 from loomyard_standins.benches.http_request import (
     HttpRequest,
     RequestReader,
-    answer_json,
-    send_at_once,
+    disable_nagle,
+    send_json,
 )
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
 )
 NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 CHARACTERS_PER_TOKEN = 4
-KEPT_ATTEMPTS = 1024
+MAX_RECORDED_ATTEMPTS = 1024
 MAX_WAITING = 4096
 
 
@@ -67,7 +67,7 @@
             stream.close()
 
     def _serve(self, connection: socket.socket, _: object) -> None:
-        send_at_once(connection)
+        disable_nagle(connection)
         reader = RequestReader(connection)
         while (request := reader.read()) is not None:
             if not self._answer(connection, request):
@@ -80,41 +80,41 @@
         if path.endswith("/cancel"):
             if stream := self._attempts.get(path.split("/")[2]):
                 stream.cancelled = True
-            answer_json(connection, b"{}")
+            send_json(connection, b"{}")
         elif path == "/load":
-            answer_json(connection, json.dumps(self._load()).encode())
+            send_json(connection, json.dumps(self._load()).encode())
         elif path == "/cache-events":
-            answer_json(connection, b"[]")
+            send_json(connection, b"[]")
         else:
             connection.sendall(NOT_FOUND)
         return True
 
     def _complete(self, connection: socket.socket, request: HttpRequest) -> bool:
-        asked = json.loads(request.body)
+        document = json.loads(request.body)
         stream = BatchStream(
             request.headers.get("loomyard-attempt", ""),
-            max(1, len(asked["prompt"]) // CHARACTERS_PER_TOKEN),
-            int(asked["max_tokens"]),
-            bool(asked.get("stream")),
+            max(1, len(document["prompt"]) // CHARACTERS_PER_TOKEN),
+            int(document["max_tokens"]),
+            bool(document.get("stream")),
             connection,
         )
-        self._remember(stream)
-        if stream.streamed:
+        self._record_attempt(stream)
+        if stream.is_stream:
             connection.sendall(STREAM_HEAD.format(attempt=stream.attempt).encode())
         connection.settimeout(0.0)
         self._waiting.append(stream)
         stream.ended.wait()
-        if stream.broken:
+        if stream.disconnected:
             return False
         connection.settimeout(None)
         stream.flush()
-        if not stream.streamed:
-            answer_json(connection, b'{"choices":[],"usage":%s}' % stream.usage(), stream.attempt)
+        if not stream.is_stream:
+            send_json(connection, b'{"choices":[],"usage":%s}' % stream.usage(), stream.attempt)
         return True
 
-    def _remember(self, stream: BatchStream) -> None:
+    def _record_attempt(self, stream: BatchStream) -> None:
         self._attempts[stream.attempt] = stream
-        while len(self._attempts) > KEPT_ATTEMPTS:
+        while len(self._attempts) > MAX_RECORDED_ATTEMPTS:
             self._attempts.popitem(last=False)
 
     def _load(self) -> dict[str, object]:
--- a/packages/loomyard-standins/src/loomyard_standins/benches/batch_stream.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/batch_stream.py
@@ -16,41 +16,41 @@
 
     attempt: str
     prompt_tokens: int
-    tokens: int
-    streamed: bool
+    max_tokens: int
+    is_stream: bool
     connection: socket.socket
-    made: int = 0
+    generated: int = 0
     cancelled: bool = False
-    broken: bool = False
+    disconnected: bool = False
     ended: Event = field(factory=Event)
     _unsent: bytes = b""
 
     def step(self) -> bool:
         """Generate one token; return true if the request has ended."""
-        if self.cancelled or self.broken:
+        if self.cancelled or self.disconnected:
             return True
-        if self.streamed:
-            self._send(_chunk(b"id: %d\n" % self.made + TOKEN_DATA))
-        self.made += 1
-        return self.made >= self.tokens
+        if self.is_stream:
+            self._send(_chunk(b"id: %d\n" % self.generated + TOKEN_DATA))
+        self.generated += 1
+        return self.generated >= self.max_tokens
 
     def close(self) -> None:
         """Send the usage event, ``[DONE]`` and the last chunk; wake the waiting handler."""
-        if self.streamed:
-            usage = b'id: %d\ndata: {"choices":[],"usage":%s}\n\n' % (self.made, self.usage())
-            done = b"id: %d\ndata: [DONE]\n\n" % (self.made + 1)
+        if self.is_stream:
+            usage = b'id: %d\ndata: {"choices":[],"usage":%s}\n\n' % (self.generated, self.usage())
+            done = b"id: %d\ndata: [DONE]\n\n" % (self.generated + 1)
             self._send(_chunk(usage) + _chunk(done) + LAST_CHUNK)
         self.ended.set()
 
     def usage(self) -> bytes:
         """Return the token counts as a JSON object."""
-        total = self.prompt_tokens + self.made
-        counts = (self.prompt_tokens, self.made, total)
+        total = self.prompt_tokens + self.generated
+        counts = (self.prompt_tokens, self.generated, total)
         return b'{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d}' % counts
 
     def flush(self) -> None:
         """Send what the non-blocking socket did not accept; call once it blocks again."""
-        if self._unsent and not self.broken:
+        if self._unsent and not self.disconnected:
             self.connection.sendall(self._unsent)
 
     def _send(self, data: bytes) -> None:
@@ -61,7 +61,7 @@
         except BlockingIOError:
             sent = 0
         except OSError:
-            self.broken = True
+            self.disconnected = True
             return
         self._unsent = data[sent:]
 
--- a/packages/loomyard-standins/src/loomyard_standins/benches/bench_fleet.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/bench_fleet.py
@@ -25,13 +25,13 @@
 from loomyard_router.callers.keys import digest_key
 from loomyard_router.configuration.follower import CONFIG_STREAM
 from loomyard_standins.benches.child import Child
+from loomyard_standins.benches.data_centres import data_centre_of
 from loomyard_standins.benches.driver import (
     COMPLETION_WEIGHT,
     PROMPT_WEIGHT,
     SECOND_WEIGHT,
-    key_of,
+    api_key_of,
 )
-from loomyard_standins.benches.places import data_centre_of
 from loomyard_standins.benches.router_status import RouterStatus
 from loomyard_standins.log_service import LogServer, MemoryLog
 from loomyard_standins.vm_list import MemoryVmList, VmListServer
@@ -46,10 +46,10 @@
 
 SINGLE = "single"
 FLEET = "fleet"
-ASK_SECONDS = 5.0
-READY_SECONDS = 20.0
-POLL_SECONDS = 0.05
-DEFAULT_UNITS = 200.0
+STATUS_TIMEOUT_SECONDS = 5.0
+READY_TIMEOUT_SECONDS = 20.0
+POLL_INTERVAL_SECONDS = 0.05
+DEFAULT_COST_UNITS = 200.0
 
 
 def router_name(position: int) -> str:
@@ -67,7 +67,7 @@
         self.routers: list[Child] = []
         self.ports: list[int] = []
         self._policy = policy
-        self._count = routers
+        self._router_count = routers
         self._status_ports: list[int] = []
         self._engines: Child | None = None
         self._seed = ""
@@ -77,13 +77,15 @@
         """Start all processes and wait until every router has applied the configuration."""
         self.log.start()
         self.vms.start()
-        self._engines = Child("engine_process", json.dumps(self._target_plan()))
-        seeds = self._count if self._policy != FLEET else 1
+        self._engines = Child("engine_process", json.dumps(self._describe_targets()))
+        seeds = self._router_count if self._policy != FLEET else 1
         self._add_routers(range(seeds))
-        self._add_routers(range(seeds, self._count))
+        self._add_routers(range(seeds, self._router_count))
         self._urls = self._engines.read()["urls"]
         self._publish()
-        self._await(lambda status: self._policy != FLEET or status.live == self._count)
+        self._await_status(
+            lambda status: self._policy != FLEET or status.live == self._router_count
+        )
 
     def stop(self) -> None:
         """Stop all processes."""
@@ -93,9 +95,9 @@
         self.vms.stop()
         self.log.stop()
 
-    def cut(self, position: int, names: list[str]) -> None:
+    def partition(self, position: int, names: list[str]) -> None:
         """Drop what a router sends to the named routers; an empty list ends the partition."""
-        self._ask(position, f"/cut?names={','.join(names)}")
+        self._get(position, f"/cut?names={','.join(names)}")
 
     def kill_router(self, position: int) -> None:
         """Kill a router process; its port stays in ``ports``."""
@@ -105,11 +107,11 @@
         """Restart a killed router under its old name, without any state."""
         child = self._start_router(position)
         self.routers[position] = child
-        self._take_ready(position, child.read())
+        self._register_router(position, child.read())
 
     def status(self, position: int) -> RouterStatus:
         """Return the status and counters of a router process."""
-        return RouterStatus(**json.loads(self._ask(position, "/")))
+        return RouterStatus(**json.loads(self._get(position, "/")))
 
     def router_cpu_seconds(self) -> list[float]:
         """Return the CPU seconds used by each router."""
@@ -119,14 +121,14 @@
         """Return the CPU seconds used by the process that runs the targets."""
         return self._engines.cpu_seconds() if self._engines else 0.0
 
-    def end_engines(self) -> dict:
+    def stop_engines(self) -> dict:
         """Stop the targets and return their report."""
         assert self._engines is not None
-        return self._engines.ask(b"end\n")
+        return self._engines.request(b"end\n")
 
-    def _ask(self, position: int, path: str) -> bytes:
+    def _get(self, position: int, path: str) -> bytes:
         port = self._status_ports[position]
-        client = HTTPClient("127.0.0.1", port, network_timeout=ASK_SECONDS)
+        client = HTTPClient("127.0.0.1", port, network_timeout=STATUS_TIMEOUT_SECONDS)
         try:
             return bytes(client.get(path).read())
         finally:
@@ -138,20 +140,20 @@
         for position, child in zip(positions, children, strict=True):
             self.ports.append(0)
             self._status_ports.append(0)
-            self._take_ready(position, child.read())
+            self._register_router(position, child.read())
 
-    def _take_ready(self, position: int, ready: dict) -> None:
-        self.ports[position] = ready["port"]
-        self._status_ports[position] = ready["status_port"]
-        if not ready["peer_address"]:
+    def _register_router(self, position: int, addresses: dict) -> None:
+        self.ports[position] = addresses["port"]
+        self._status_ports[position] = addresses["status_port"]
+        if not addresses["peer_address"]:
             return
-        self._seed = self._seed or ready["peer_address"]
+        self._seed = self._seed or addresses["peer_address"]
         name = router_name(position)
         vms = [vm for vm in self.vms.vm_list.vms if vm.name != name]
         centre = data_centre_of(position)
         self.vms.vm_list.vms = [
             *vms,
-            Vm(name=name, data_centre=centre, address=ready["peer_address"]),
+            Vm(name=name, data_centre=centre, address=addresses["peer_address"]),
         ]
         self.vms.vm_list.publish()
 
@@ -171,11 +173,11 @@
             f"--log-service={self.log.address}",
             f"--policy={policy}",
             f"--position={position}",
-            f"--routers={self._count}",
+            f"--routers={self._router_count}",
             *(peering if self._policy == FLEET else []),
         )
 
-    def _target_plan(self) -> dict:
+    def _describe_targets(self) -> dict:
         targets = [
             {"service": plan.name, "type": plan.type.value, "slots": plan.slots}
             for plan in self.workload.services
@@ -188,20 +190,20 @@
             change_id=secrets.token_hex(8), puts=[Put(object=o) for o in self._objects()]
         )
         version = self.log.log.append(CONFIG_STREAM, encode(change)).unwrap()
-        self._await(lambda status: status.version >= version)
+        self._await_status(lambda status: status.version >= version)
 
-    def _await(self, ready: Callable[[RouterStatus], bool]) -> None:
-        until = time.monotonic() + READY_SECONDS
-        while not all(ready(self.status(position)) for position in range(self._count)):
+    def _await_status(self, predicate: Callable[[RouterStatus], bool]) -> None:
+        until = time.monotonic() + READY_TIMEOUT_SECONDS
+        while not all(predicate(self.status(position)) for position in range(self._router_count)):
             if time.monotonic() > until:
                 raise TimeoutError("the routers did not become ready in time")
-            gevent.sleep(POLL_SECONDS)
+            gevent.sleep(POLL_INTERVAL_SECONDS)
 
     def _objects(self) -> list[ConfigObject]:
         objects: list[ConfigObject] = [
             ClientAccount(
                 metadata=Metadata(name=plan.name),
-                key_digests=[digest_key(key_of(plan.name))],
+                key_digests=[digest_key(api_key_of(plan.name))],
                 weight=plan.weight,
                 queue_limit=plan.queue_limit,
             )
@@ -232,5 +234,5 @@
         prompt_weight=PROMPT_WEIGHT,
         completion_weight=COMPLETION_WEIGHT,
         second_weight=SECOND_WEIGHT,
-        default_cost=DEFAULT_UNITS,
+        default_cost=DEFAULT_COST_UNITS,
     )
--- a/packages/loomyard-standins/src/loomyard_standins/benches/caller.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/caller.py
@@ -11,8 +11,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-BLOCK = 65536
-TIMEOUT = 120.0
+READ_BYTES = 65536
+TIMEOUT_SECONDS = 120.0
 HEAD_END = b"\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 EVENT_END = b"\n\n"
@@ -26,7 +26,7 @@
     """An answer: ``complete`` is false if it was truncated, ``retry_after`` is in seconds."""
 
     status: int
-    whole: bool
+    complete: bool
     retry_after: float = 1.0
     body: bytes = b""
 
@@ -34,8 +34,8 @@
 class Caller:
     """Send requests of one client account to one router."""
 
-    def __init__(self, find_port: Callable[[], int], key: str) -> None:
-        self._find_port = find_port
+    def __init__(self, get_port: Callable[[], int], key: str) -> None:
+        self._get_port = get_port
         self._key = key
         self._port = 0
         self._socket: socket.socket | None = None
@@ -60,7 +60,7 @@
         except gevent.GreenletExit:
             self.close()
             raise
-        if not reply.whole:
+        if not reply.complete:
             self.close()
         return reply
 
@@ -71,12 +71,12 @@
             self._socket = None
 
     def _connect(self) -> socket.socket:
-        port = self._find_port()
+        port = self._get_port()
         if port != self._port:
             self.close()
             self._port = port
         if self._socket is None:
-            self._socket = socket.create_connection(("127.0.0.1", port), TIMEOUT)
+            self._socket = socket.create_connection(("127.0.0.1", port), TIMEOUT_SECONDS)
             self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return self._socket
 
@@ -88,7 +88,7 @@
     """
     data = b""
     while HEAD_END not in data:
-        block = connection.recv(BLOCK)
+        block = connection.recv(READ_BYTES)
         if not block:
             raise ConnectionResetError("the router closed the connection")
         data += block
@@ -97,11 +97,11 @@
     lower = head.lower()
     if b"chunked" in lower:
         stream = b"event-stream" in lower
-        whole = _read_chunks(connection, rest, on_tokens if stream else None)
-        return Reply(status, whole)
+        complete = _read_chunks(connection, rest, on_tokens if stream else None)
+        return Reply(status, complete)
     length = int(_header(lower, b"content-length") or 0)
     while len(rest) < length:
-        block = connection.recv(BLOCK)
+        block = connection.recv(READ_BYTES)
         if not block:
             return Reply(status, False)
         rest += block
@@ -115,14 +115,14 @@
     while True:
         if on_tokens is not None and data:
             # Count complete events only, since a read may end within an event or its end mark.
-            whole, end, rest = (rest + data).rpartition(EVENT_END)
+            events, end, rest = (rest + data).rpartition(EVENT_END)
             if end:
-                whole += end
-                on_tokens(whole.count(EVENT_END) - whole.count(USAGE) - whole.count(DONE))
+                events += end
+                on_tokens(events.count(EVENT_END) - events.count(USAGE) - events.count(DONE))
         tail = (tail + data)[-len(LAST_CHUNK) :]
         if tail == LAST_CHUNK:
             return True
-        data = connection.recv(BLOCK)
+        data = connection.recv(READ_BYTES)
         if not data:
             return False
 
--- a/packages/loomyard-standins/src/loomyard_standins/benches/child.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/child.py
@@ -14,7 +14,7 @@
 from gevent.fileobject import FileObject
 
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
-READY_SECONDS = 20.0
+READ_TIMEOUT_SECONDS = 20.0
 EXIT_ORPHANED = 3
 
 
@@ -33,7 +33,7 @@
     def pid(self) -> int:
         return self._process.pid
 
-    def read(self, seconds: float = READY_SECONDS) -> dict[str, Any]:
+    def read(self, seconds: float = READ_TIMEOUT_SECONDS) -> dict[str, Any]:
         """Return the next JSON object of the output.
 
         Raises TimeoutError after ``seconds`` without one, RuntimeError if the process ended.
@@ -44,7 +44,7 @@
             raise RuntimeError(f"{self._module} exited without printing a result")
         return json.loads(line)
 
-    def ask(self, line: bytes, seconds: float = READY_SECONDS) -> dict[str, Any]:
+    def request(self, line: bytes, seconds: float = READ_TIMEOUT_SECONDS) -> dict[str, Any]:
         """Write a line to standard input and return the next JSON object of the output."""
         self.write(line)
         return self.read(seconds)
@@ -71,18 +71,18 @@
         self._process.wait()
 
 
-def announce(**fields: Any) -> None:
+def send_to_parent(**fields: Any) -> None:
     """Print the fields as one JSON object for the parent process."""
     print(json.dumps(fields), flush=True)
 
 
-def end_with_parent() -> None:
+def exit_with_parent() -> None:
     """Exit this process when its standard input closes, which happens if the parent ends."""
     gevent.spawn(_await_end_of_input)
 
 
 def _await_end_of_input() -> None:
-    source = FileObject(sys.stdin.fileno(), "rb", close=False)
-    while source.read(1):
+    stdin = FileObject(sys.stdin.fileno(), "rb", close=False)
+    while stdin.read(1):
         pass
     os._exit(EXIT_ORPHANED)
--- a/packages/loomyard-standins/src/loomyard_standins/benches/claims.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/claims.py
@@ -32,18 +32,18 @@
 from loomyard_standins.memory_network import MemoryNetwork  # noqa: E402
 
 SECONDS = 2.0
-WARM_SECONDS = 0.3
+WARM_UP_SECONDS = 0.3
 DRAIN_SECONDS = 0.5
-PEER_DELAY = 0.0015
+PEER_DELAY_SECONDS = 0.0015
 TARGET_SECONDS = 0.01
-TIMEOUT = 10.0
-WINDOW = 600.0
+TIMEOUT_SECONDS = 10.0
+CLAIM_WINDOW_SECONDS = 600.0
 MAX_MICROSECONDS = 60_000_000
 BODY = b'{"receipt": 123456, "bay": 7, "state": "swapped"}'
 MODES = ("hosts", "direct")
 ROUTERS = (4, 16)
-RATES = (20, 300)
-LOG_DELAYS = (0.002, 0.05)
+RATES_PER_SECOND = (20, 300)
+LOG_DELAYS_SECONDS = (0.002, 0.05)
 
 
 @frozen(kw_only=True)
@@ -57,7 +57,7 @@
 
 
 @define(kw_only=True)
-class Figures:
+class CaseMetrics:
     """Results of one case; latencies run from ``claim`` until ``begin`` is granted."""
 
     requests: int = 0
@@ -72,7 +72,7 @@
     p99_ms: float = 0.0
 
 
-class FixedView:
+class FixedMembership:
     """Membership with a fixed set of live routers."""
 
     def __init__(self, own: Member, live: list[Member]) -> None:
@@ -93,46 +93,46 @@
 
 
 @define(eq=False)
-class Load:
+class LoadGenerator:
     """Load generator: Poisson arrivals at random routers of a case."""
 
     case: Case
-    keepers: list[LogClaims]
+    coordinators: list[LogClaims]
     clock: SystemClock
-    figures: Figures = field(factory=Figures)
+    metrics: CaseMetrics = field(factory=CaseMetrics)
     latency: HdrHistogram = field(factory=lambda: HdrHistogram(1, MAX_MICROSECONDS, 3))
 
     def run(self) -> None:
         """Send requests at the rate of the case and wait for the last one."""
         numbers = itertools.count()
-        draw = random.Random(1)
+        rng = random.Random(1)
         started = time.monotonic()
         tasks = []
         due = started
         while due < started + SECONDS:
             gevent.sleep(max(0.0, due - time.monotonic()))
-            tasks.append(gevent.spawn(self._request, draw.choice(self.keepers), next(numbers)))
-            due += draw.expovariate(self.case.rate)
+            tasks.append(gevent.spawn(self._request, rng.choice(self.coordinators), next(numbers)))
+            due += rng.expovariate(self.case.rate)
         gevent.joinall(tasks, raise_error=True)
         gevent.sleep(DRAIN_SECONDS + 4 * self.case.log_delay)
 
-    def _request(self, keeper: LogClaims, number: int) -> None:
+    def _request(self, coordinator: LogClaims, number: int) -> None:
         key = ClaimKey(account="kiosk", key=f"{self.case}-{number}", fingerprint=b"f" * 16)
         started = time.monotonic()
-        deadline = self.clock.now() + TIMEOUT
-        match keeper.claim(key, deadline):
+        deadline = self.clock.now() + TIMEOUT_SECONDS
+        match coordinator.claim(key, deadline):
             case Ok(Claim() as claim):
                 pass
             case _:
-                self.figures.refused += 1
+                self.metrics.refused += 1
                 return
-        if keeper.begin(claim, deadline).is_err():
-            self.figures.refused += 1
+        if coordinator.begin(claim, deadline).is_err():
+            self.metrics.refused += 1
             return
         self.latency.record_value(int(1e6 * (time.monotonic() - started)))
-        self.figures.requests += 1
+        self.metrics.requests += 1
         gevent.sleep(TARGET_SECONDS)
-        keeper.finish(claim, RecordedOutcome(status=201, content_type="text/plain", body=BODY))
+        coordinator.finish(claim, RecordedOutcome(status=201, content_type="text/plain", body=BODY))
 
 
 class CountingLog(MemoryLog):
@@ -145,7 +145,7 @@
         return super().append(stream, payload)
 
 
-def run_case(case: Case) -> Figures:
+def run_case(case: Case) -> CaseMetrics:
     """Run the routers and the load of one case and return its metrics."""
     clock = SystemClock()
     log = CountingLog()
@@ -154,37 +154,37 @@
         Member(name=f"router-{n}", incarnation=n, address="", data_centre="")
         for n in range(case.routers)
     ]
-    keepers = [
+    coordinators = [
         make_log_claims(
             log=log,
             clock=clock,
-            members=FixedView(own, members if case.mode == "hosts" else [own]),
+            members=FixedMembership(own, members if case.mode == "hosts" else [own]),
             peers=network.join(own),
-            window=WINDOW,
+            window=CLAIM_WINDOW_SECONDS,
         )
         for own in members
     ]
-    for keeper in keepers:
-        keeper.start()
-    gevent.sleep(WARM_SECONDS)
-    network.delay = PEER_DELAY
+    for coordinator in coordinators:
+        coordinator.start()
+    gevent.sleep(WARM_UP_SECONDS)
+    network.delay = PEER_DELAY_SECONDS
     log.delay = case.log_delay
-    load = Load(case, keepers, clock)
+    load = LoadGenerator(case, coordinators, clock)
     started = time.process_time()
     load.run()
-    figures = load.figures
-    processor = time.process_time() - started
-    figures.appends, figures.bytes = log.appends, log.bytes
-    for keeper in keepers:
-        keeper.stop()
-    requests = max(1, figures.requests)
-    figures.appends_per_request = round(figures.appends / requests, 3)
-    figures.appends_per_second = round(figures.appends / SECONDS, 1)
-    figures.bytes_per_request = round(figures.bytes / requests, 1)
-    figures.cpu_ms_per_request = round(1000 * processor / requests, 3)
-    figures.p50_ms = load.latency.get_value_at_percentile(50) / 1000
-    figures.p99_ms = load.latency.get_value_at_percentile(99) / 1000
-    return figures
+    metrics = load.metrics
+    cpu_seconds = time.process_time() - started
+    metrics.appends, metrics.bytes = log.appends, log.bytes
+    for coordinator in coordinators:
+        coordinator.stop()
+    requests = max(1, metrics.requests)
+    metrics.appends_per_request = round(metrics.appends / requests, 3)
+    metrics.appends_per_second = round(metrics.appends / SECONDS, 1)
+    metrics.bytes_per_request = round(metrics.bytes / requests, 1)
+    metrics.cpu_ms_per_request = round(1000 * cpu_seconds / requests, 3)
+    metrics.p50_ms = load.latency.get_value_at_percentile(50) / 1000
+    metrics.p99_ms = load.latency.get_value_at_percentile(99) / 1000
+    return metrics
 
 
 def main() -> int:
@@ -194,16 +194,18 @@
         "mode routers rate/s log-ms requests refused appends/req appends/s B/req cpu-ms/req p50-ms"
         " p99-ms"
     )
-    for mode, routers, rate, delay in itertools.product(MODES, ROUTERS, RATES, LOG_DELAYS):
+    for mode, routers, rate, delay in itertools.product(
+        MODES, ROUTERS, RATES_PER_SECOND, LOG_DELAYS_SECONDS
+    ):
         case = Case(mode=mode, routers=routers, rate=rate, log_delay=delay)
-        figures = run_case(case)
-        rows.append(asdict(case) | asdict(figures))
+        metrics = run_case(case)
+        rows.append(asdict(case) | asdict(metrics))
         print(
-            f"{mode:6} {routers:5} {rate:6} {1000 * delay:6.0f} {figures.requests:8}"
-            f" {figures.refused:7} {figures.appends_per_request:11.3f}"
-            f" {figures.appends_per_second:9.1f} {figures.bytes_per_request:5.0f}"
-            f" {figures.cpu_ms_per_request:10.3f}"
-            f" {figures.p50_ms:6.1f} {figures.p99_ms:6.1f}",
+            f"{mode:6} {routers:5} {rate:6} {1000 * delay:6.0f} {metrics.requests:8}"
+            f" {metrics.refused:7} {metrics.appends_per_request:11.3f}"
+            f" {metrics.appends_per_second:9.1f} {metrics.bytes_per_request:5.0f}"
+            f" {metrics.cpu_ms_per_request:10.3f}"
+            f" {metrics.p50_ms:6.1f} {metrics.p99_ms:6.1f}",
             flush=True,
         )
     print(json.dumps({"bench": "claims", "seconds": SECONDS, "cases": rows}))
--- a/packages/loomyard-standins/src/loomyard_standins/benches/configuration.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/configuration.py
@@ -84,11 +84,11 @@
 def measure(size: int) -> dict[str, Any]:
     """Measure a configuration of ``size`` accounts in this process."""
     records = [LogRecord(offset, data) for offset, data in enumerate(make_records(size))]
-    before, replica = resident_bytes(), ConfigReplica()
+    memory_before, replica = resident_bytes(), ConfigReplica()
     started = time.perf_counter()
     replica.apply(records)
     load = time.perf_counter() - started
-    memory = resident_bytes() - before
+    memory = resident_bytes() - memory_before
     assert len(replica.routing.accounts) == size
     result = {
         "objects": size,
@@ -112,20 +112,24 @@
         times.append((time.perf_counter() - started) * MILLISECONDS)
         account.version = number
     assert replica.state.version == offset + CHANGES_TIMED - 1
-    return _spread("change_ms", times)
+    return _percentiles("change_ms", times)
 
 
 def _time_snapshot(replica: ConfigReplica) -> dict[str, Any]:
-    (parts, pack_seconds), pack_pause = _watch(lambda: _timed(lambda: pack(replica.state)))
-    (state, unpack_seconds), unpack_pause = _watch(lambda: _timed(lambda: unpack(parts).unwrap()))
+    (parts, pack_seconds), pack_block = _measure_blocking(
+        lambda: _timed(lambda: pack(replica.state))
+    )
+    (state, unpack_seconds), unpack_block = _measure_blocking(
+        lambda: _timed(lambda: unpack(parts).unwrap())
+    )
     assert state == replica.state
     return {
         "snapshot_bytes": sum(len(part.data) for part in parts),
         "snapshot_parts": len(parts),
         "pack_ms": pack_seconds * MILLISECONDS,
-        "pack_longest_block_ms": pack_pause * MILLISECONDS,
+        "pack_longest_block_ms": pack_block * MILLISECONDS,
         "unpack_ms": unpack_seconds * MILLISECONDS,
-        "unpack_longest_block_ms": unpack_pause * MILLISECONDS,
+        "unpack_longest_block_ms": unpack_block * MILLISECONDS,
     }
 
 
@@ -148,7 +152,7 @@
     for follower in followers:
         follower.stop()
     server.stop()
-    return _spread("in_force_ms", times)
+    return _percentiles("in_force_ms", times)
 
 
 def _await_version(followers: list[ConfigFollower], version: int) -> None:
@@ -163,11 +167,11 @@
     return outcome, time.perf_counter() - started
 
 
-def _watch(work: Any) -> tuple[Any, float]:
+def _measure_blocking(work: Any) -> tuple[Any, float]:
     """Return the result of work and the longest time, in seconds, that it blocked the loop."""
     longest = 0.0
 
-    def turn() -> None:
+    def watch_loop() -> None:
         nonlocal longest
         last = time.perf_counter()
         while True:
@@ -175,7 +179,7 @@
             now = time.perf_counter()
             longest, last = max(longest, now - last), now
 
-    other = gevent.spawn(turn)
+    other = gevent.spawn(watch_loop)
     gevent.sleep(0)
     outcome = work()
     gevent.sleep(0)
@@ -183,7 +187,7 @@
     return outcome, longest
 
 
-def _spread(name: str, times: list[float]) -> dict[str, float]:
+def _percentiles(name: str, times: list[float]) -> dict[str, float]:
     times.sort()
     return {
         f"{name}_p50": times[len(times) // 2],
--- a/packages/loomyard-standins/src/loomyard_standins/benches/control.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/control.py
@@ -15,15 +15,15 @@
 from attrs import frozen  # noqa: E402
 
 from loomyard_standins.benches.child import Child  # noqa: E402
-from loomyard_standins.benches.machine import idle_core_seconds  # noqa: E402
+from loomyard_standins.benches.host_cpu import idle_core_seconds  # noqa: E402
 
-SLACK_SECONDS = 30.0
-START_SECONDS = 45.0
-KEPT = ("control", "cpu_percent", "events_per_s", "requests_per_s")
+END_MARGIN_SECONDS = 30.0
+START_TIMEOUT_SECONDS = 45.0
+REPORTED_KEYS = ("control", "cpu_percent", "events_per_s", "requests_per_s")
 
 
 @frozen(kw_only=True)
-class Point:
+class LoadPoint:
     """One load; 0 ``accounts_per_router`` selects the workload of Cambiavolt."""
 
     name: str
@@ -41,16 +41,16 @@
 # In two batches, so that the processes of one batch don't use all cores of the host.
 BATCHES = (
     (
-        Point(name="full load"),
-        Point(name="idle", idle=True),
-        Point(name="2 routers, 4 accounts each", routers=2, accounts_per_router=4),
-        Point(name="2 routers, 8 accounts each", routers=2, accounts_per_router=8),
-        Point(name="4 routers, 4 accounts each", routers=4, accounts_per_router=4),
+        LoadPoint(name="full load"),
+        LoadPoint(name="idle", idle=True),
+        LoadPoint(name="2 routers, 4 accounts each", routers=2, accounts_per_router=4),
+        LoadPoint(name="2 routers, 8 accounts each", routers=2, accounts_per_router=8),
+        LoadPoint(name="4 routers, 4 accounts each", routers=4, accounts_per_router=4),
     ),
     (
-        Point(name="8 routers, 2 accounts each", accounts_per_router=2),
-        Point(name="8 routers, 4 accounts each", accounts_per_router=4),
-        Point(name="8 routers, 8 accounts each", accounts_per_router=8),
+        LoadPoint(name="8 routers, 2 accounts each", accounts_per_router=2),
+        LoadPoint(name="8 routers, 4 accounts each", accounts_per_router=4),
+        LoadPoint(name="8 routers, 8 accounts each", accounts_per_router=8),
     ),
 )
 
@@ -62,38 +62,40 @@
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
     started, idle = time.monotonic(), idle_core_seconds()
-    points: dict[str, Any] = {}
+    results: dict[str, Any] = {}
     for batch in BATCHES:
-        points |= _run(batch, options)
+        results |= _run(batch, options)
     seconds = time.monotonic() - started
     result = {
         "seed": options.seed,
         "seconds": round(seconds, 1),
         "idle_cores_mean": round((idle_core_seconds() - idle) / seconds, 1),
-        "points": points,
+        "points": results,
     }
     print(json.dumps(result))
     return 0
 
 
-def _run(batch: tuple[Point, ...], options: argparse.Namespace) -> dict[str, Any]:
+def _run(batch: tuple[LoadPoint, ...], options: argparse.Namespace) -> dict[str, Any]:
     common = ["--policy=fleet", f"--seed={options.seed}", f"--calm={options.seconds}", "--flood=0"]
     runs: dict[str, Child] = {}
     try:
         for point in batch:
             runs[point.name] = Child("policy_run", *common, *point.arguments)
         for run in runs.values():
-            run.read(START_SECONDS)
+            run.read(START_TIMEOUT_SECONDS)
         for run in runs.values():
             run.write(b"go\n")
-        figures = {name: run.read(options.seconds + SLACK_SECONDS) for name, run in runs.items()}
+        metrics = {
+            name: run.read(options.seconds + END_MARGIN_SECONDS) for name, run in runs.items()
+        }
     finally:
         for run in runs.values():
             run.kill()
     return {
-        name: {key: found[key] for key in KEPT}
-        | {"utilisation_percent": found["calm"]["utilisation_percent"]}
-        for name, found in figures.items()
+        name: {key: run_metrics[key] for key in REPORTED_KEYS}
+        | {"utilisation_percent": run_metrics["calm"]["utilisation_percent"]}
+        for name, run_metrics in metrics.items()
     }
 
 
--- a/packages/loomyard-standins/src/loomyard_standins/benches/control_figures.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/control_traffic.py
@@ -5,11 +5,11 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from loomyard_standins.benches.reading import Reading
+    from loomyard_standins.benches.counter_snapshot import CounterSnapshot
     from loomyard_standins.benches.router_status import RouterStatus
 
 
-def control_figures(before: Reading, after: Reading) -> dict[str, Any]:
+def control_traffic_rates(before: CounterSnapshot, after: CounterSnapshot) -> dict[str, Any]:
     """Return per-second rates of control traffic between two counter snapshots."""
     seconds = after.at - before.at
     pairs = list(zip(before.statuses, after.statuses, strict=True))
--- a/packages/loomyard-standins/src/loomyard_standins/benches/reading.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/counter_snapshot.py
@@ -14,7 +14,7 @@
 
 
 @frozen(kw_only=True)
-class Reading:
+class CounterSnapshot:
     """Monotonic time, CPU seconds used by each process and status of each router."""
 
     at: float
@@ -24,9 +24,9 @@
     statuses: tuple[RouterStatus, ...]
 
 
-def read_counters(fleet: BenchFleet) -> Reading:
+def take_snapshot(fleet: BenchFleet) -> CounterSnapshot:
     """Read the counters of all processes of a fleet."""
-    return Reading(
+    return CounterSnapshot(
         at=time.monotonic(),
         driver_cpu=time.process_time(),
         targets_cpu=fleet.engine_cpu_seconds(),
--- a/packages/loomyard-standins/src/loomyard_standins/benches/places.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/data_centres.py
@@ -5,7 +5,7 @@
 from urllib.parse import urlsplit
 
 DATA_CENTRES = ("dc-1", "dc-2", "dc-3")
-ONE_WAY_SECONDS = 0.0015
+ONE_WAY_DELAY_SECONDS = 0.0015
 
 
 def data_centre_of(position: int) -> str:
--- a/packages/loomyard-standins/src/loomyard_standins/benches/delayed_engine.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/delayed_engine.py
@@ -7,7 +7,7 @@
 import gevent
 from result import Ok, Result
 
-from loomyard_standins.benches.places import ONE_WAY_SECONDS, data_centre_of_url
+from loomyard_standins.benches.data_centres import ONE_WAY_DELAY_SECONDS, data_centre_of_url
 
 if TYPE_CHECKING:
     from loomyard.errors import Fault
@@ -33,7 +33,7 @@
     def open(self, call: TargetCall) -> Result[TargetAnswer, Fault]:
         if self._is_near(call.url):
             return self._engine.open(call)
-        gevent.sleep(ONE_WAY_SECONDS)
+        gevent.sleep(ONE_WAY_DELAY_SECONDS)
         return self._engine.open(call).map(_DelayedAnswer)
 
     def resume(self, call: TargetCall, after: int) -> Result[TargetAnswer, Fault]:
@@ -78,7 +78,7 @@
         match data:
             case Ok(block) if block and DONE not in block:
                 return data
-        gevent.sleep(ONE_WAY_SECONDS)
+        gevent.sleep(ONE_WAY_DELAY_SECONDS)
         return data
 
     def close(self) -> None:
--- a/packages/loomyard-standins/src/loomyard_standins/benches/driver.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/driver.py
@@ -20,9 +20,9 @@
     from collections.abc import Callable
 
     from loomyard_standins.benches.account_plan import AccountPlan
-    from loomyard_standins.benches.landing import Landing
+    from loomyard_standins.benches.load_balancer import LoadBalancer
     from loomyard_standins.benches.timeline import Timeline
-    from loomyard_standins.benches.trace import Trace, Wait
+    from loomyard_standins.benches.trace import Trace, TracedRequest
     from loomyard_standins.benches.workload import Workload
 
 PROMPT_WEIGHT = 1.0
@@ -30,15 +30,15 @@
 SECOND_WEIGHT = 1000.0
 CHARACTERS_PER_TOKEN = 4
 MAX_OPEN_CALLS = 400
-MAX_RETRY_SECONDS = 1.0
-RECONNECT_SECONDS = 0.05
-BURST_EVERY = 2.0
-RETURNING_ON = 2.0
-RETURNING_OFF = 1.0
-HEARTBEAT_SECONDS = 0.01
+MAX_RETRY_DELAY_SECONDS = 1.0
+RECONNECT_DELAY_SECONDS = 0.05
+BURST_PERIOD_SECONDS = 2.0
+RETURNING_ON_SECONDS = 2.0
+RETURNING_OFF_SECONDS = 1.0
+LAG_SAMPLE_SECONDS = 0.01
 
 
-def key_of(account: str) -> str:
+def api_key_of(account: str) -> str:
     """Return the API key of an account."""
     return f"key-{account}"
 
@@ -47,15 +47,20 @@
     """Run the callers until the timeline ends and record their requests in the trace."""
 
     def __init__(
-        self, workload: Workload, timeline: Timeline, trace: Trace, landing: Landing, seed: int
+        self,
+        workload: Workload,
+        timeline: Timeline,
+        trace: Trace,
+        balancer: LoadBalancer,
+        seed: int,
     ) -> None:
         self.refused = 0
         self.failed = 0
-        self.cut_off = 0
-        self.lateness: list[float] = []
+        self.truncated = 0
+        self.loop_lag: list[float] = []
         self._timeline = timeline
         self._trace = trace
-        self._landing = landing
+        self._balancer = balancer
         self._services = {plan.name: n for n, plan in enumerate(workload.services)}
         self._types = {plan.name: plan.type for plan in workload.services}
         self._accounts = workload.accounts
@@ -64,14 +69,14 @@
 
     def run(self, *, idle: bool = False) -> None:
         """Send requests until the end, then kill all callers; when idle, send nothing."""
-        gevent.spawn(self._measure_lateness)
+        gevent.spawn(self._measure_loop_lag)
         for number, plan in enumerate(self._accounts if not idle else ()):
             start = _STARTS[plan.pattern]
             start(self, _Account(number, plan, Draws(plan, self._seed)))
-        gevent.sleep(max(0.0, self._left()))
+        gevent.sleep(max(0.0, self._seconds_left()))
         self._tasks.kill()
 
-    def _left(self) -> float:
+    def _seconds_left(self) -> float:
         return self._trace.started + self._timeline.end - time.monotonic()
 
     def _elapsed(self) -> float:
@@ -80,7 +85,7 @@
     def _start_backlog(self, account: _Account) -> None:
         for service in account.plan.services:
             for number in range(account.plan.callers):
-                self._tasks.spawn(self._call_forever, account, service, number, _always)
+                self._tasks.spawn(self._call_forever, account, service, number, _no_wait)
 
     def _start_returning(self, account: _Account) -> None:
         for number in range(account.plan.callers):
@@ -89,36 +94,36 @@
             )
 
     def _start_poisson(self, account: _Account) -> None:
-        self._tasks.spawn(self._send_open, account, 0.0, self._timeline.end)
+        self._tasks.spawn(self._send_open_loop, account, 0.0, self._timeline.end)
 
     def _start_flood(self, account: _Account) -> None:
         start, stop = (f(Phase.FLOOD) for f in (self._timeline.start_of, self._timeline.end_of))
-        self._tasks.spawn(self._send_open, account, start, stop)
+        self._tasks.spawn(self._send_open_loop, account, start, stop)
 
     def _start_bursts(self, account: _Account) -> None:
         self._tasks.spawn(self._send_bursts, account)
 
     def _call_forever(
-        self, account: _Account, service: str, number: int, await_turn: Callable[[], None]
+        self, account: _Account, service: str, number: int, await_send_time: Callable[[], None]
     ) -> None:
         router = account.plan.routers[number % len(account.plan.routers)]
         caller = self._connect(account, router)
         while True:
-            await_turn()
+            await_send_time()
             gevent.sleep(self._call(account, service, caller))
 
     def _await_return(self) -> None:
-        phase = self._elapsed() % (RETURNING_ON + RETURNING_OFF)
-        if phase > RETURNING_ON:
-            gevent.sleep(RETURNING_ON + RETURNING_OFF - phase)
+        phase = self._elapsed() % (RETURNING_ON_SECONDS + RETURNING_OFF_SECONDS)
+        if phase > RETURNING_ON_SECONDS:
+            gevent.sleep(RETURNING_ON_SECONDS + RETURNING_OFF_SECONDS - phase)
 
-    def _send_open(self, account: _Account, start: float, stop: float) -> None:
+    def _send_open_loop(self, account: _Account, start: float, stop: float) -> None:
         gevent.sleep(start)
         idle: list[Caller] = []
         open_calls = Semaphore(MAX_OPEN_CALLS)
         due = time.monotonic()
         while self._elapsed() < stop:
-            due += account.draws.gap(account.plan.rate)
+            due += account.draws.interarrival_seconds(account.plan.rate)
             gevent.sleep(max(0.0, due - time.monotonic()))
             open_calls.acquire()
             self._tasks.spawn(self._call_once, account, idle).rawlink(
@@ -130,7 +135,7 @@
             caller = idle.pop()
         else:
             routers = account.plan.routers
-            caller = self._connect(account, routers[account.draws.choice(len(routers))])
+            caller = self._connect(account, routers[account.draws.position(len(routers))])
         self._call(account, account.plan.services[0], caller)
         idle.append(caller)
 
@@ -143,34 +148,36 @@
         while True:
             service = account.plan.services[0]
             tasks = [self._tasks.spawn(self._call, account, service, c) for c in callers]
-            gevent.sleep(BURST_EVERY)
+            gevent.sleep(BURST_PERIOD_SECONDS)
             gevent.joinall(tasks)
 
     def _connect(self, account: _Account, router: int) -> Caller:
-        return Caller(lambda: self._landing.port(router), key_of(account.plan.name))
+        return Caller(lambda: self._balancer.port(router), api_key_of(account.plan.name))
 
     def _call(self, account: _Account, service: str, caller: Caller) -> float:
         """Send one request; return the seconds to wait before the next one."""
-        wait = self._trace.send(account.number, self._services[service])
+        request = self._trace.record_sent(account.number, self._services[service])
         try:
             if self._types[service] is ServiceType.PLAIN:
-                reply = self._call_plain(account, service, caller, wait)
+                reply = self._call_plain(account, service, caller, request)
             else:
-                reply = self._call_model(account, service, caller, wait)
+                reply = self._call_model(account, service, caller, request)
         except OSError:
             self.failed += 1
-            self._trace.refuse(wait)
-            return RECONNECT_SECONDS
+            self._trace.record_refusal(request)
+            return RECONNECT_DELAY_SECONDS
         if reply.status == HTTP_OK:
             return 0.0
         self.refused += 1
-        self._trace.refuse(wait)
-        return min(MAX_RETRY_SECONDS, reply.retry_after) * account.draws.fraction()
+        self._trace.record_refusal(request)
+        return min(MAX_RETRY_DELAY_SECONDS, reply.retry_after) * account.draws.jitter()
 
-    def _call_model(self, account: _Account, service: str, caller: Caller, wait: Wait) -> Reply:
+    def _call_model(
+        self, account: _Account, service: str, caller: Caller, request: TracedRequest
+    ) -> Reply:
         tokens, prompt = account.draws.tokens(), account.draws.prompt_tokens()
         cost = PROMPT_WEIGHT * prompt + COMPLETION_WEIGHT * tokens
-        asked = {
+        document = {
             "model": service,
             "prompt": account.plan.name[:CHARACTERS_PER_TOKEN].ljust(
                 CHARACTERS_PER_TOKEN * prompt, "x"
@@ -184,29 +191,31 @@
         def on_tokens(count: int) -> None:
             trace.events += count
             units = COMPLETION_WEIGHT * count
-            if count and wait.served is None:
+            if count and request.served is None:
                 units += PROMPT_WEIGHT * prompt
-            trace.add(wait, units)
+            trace.record_service(request, units)
 
-        body = json.dumps(asked).encode()
-        reply = caller.call("/v1/completions", body, account.draws.hint_of(cost), on_tokens)
-        self.cut_off += not reply.whole
+        body = json.dumps(document).encode()
+        reply = caller.call("/v1/completions", body, account.draws.cost_hint(cost), on_tokens)
+        self.truncated += not reply.complete
         return reply
 
-    def _call_plain(self, account: _Account, service: str, caller: Caller, wait: Wait) -> Reply:
+    def _call_plain(
+        self, account: _Account, service: str, caller: Caller, request: TracedRequest
+    ) -> Reply:
         seconds = account.draws.seconds()
         body = json.dumps({"seconds": seconds}).encode()
-        hint = account.draws.hint_of(SECOND_WEIGHT * seconds)
-        reply = caller.call(f"/services/{service}/work", body, hint, _ignore)
+        hint = account.draws.cost_hint(SECOND_WEIGHT * seconds)
+        reply = caller.call(f"/services/{service}/work", body, hint, _ignore_tokens)
         if reply.status == HTTP_OK:
-            self._trace.add_spread(wait, SECOND_WEIGHT * seconds, seconds)
+            self._trace.record_service_over(request, SECOND_WEIGHT * seconds, seconds)
         return reply
 
-    def _measure_lateness(self) -> None:
+    def _measure_loop_lag(self) -> None:
         while True:
-            due = time.monotonic() + HEARTBEAT_SECONDS
-            gevent.sleep(HEARTBEAT_SECONDS)
-            self.lateness.append(time.monotonic() - due)
+            due = time.monotonic() + LAG_SAMPLE_SECONDS
+            gevent.sleep(LAG_SAMPLE_SECONDS)
+            self.loop_lag.append(time.monotonic() - due)
 
 
 class _Account:
@@ -216,11 +225,11 @@
         self.draws = draws
 
 
-def _always() -> None:
+def _no_wait() -> None:
     pass
 
 
-def _ignore(_: int) -> None:
+def _ignore_tokens(_: int) -> None:
     pass
 
 
--- a/packages/loomyard-standins/src/loomyard_standins/benches/fairness.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/fairness.py
@@ -17,15 +17,15 @@
 from loomyard_standins.benches.bench_fleet import FLEET  # noqa: E402
 from loomyard_standins.benches.child import Child  # noqa: E402
 from loomyard_standins.benches.comparison import compare, make_table  # noqa: E402
-from loomyard_standins.benches.machine import idle_core_seconds  # noqa: E402
+from loomyard_standins.benches.host_cpu import idle_core_seconds  # noqa: E402
 from loomyard_standins.benches.plots import plot_service  # noqa: E402
-from loomyard_standins.benches.timeline import EVENTS, Timeline  # noqa: E402
+from loomyard_standins.benches.timeline import FAULT_PHASES, Timeline  # noqa: E402
 from loomyard_standins.benches.workload import USERS, make_workload  # noqa: E402
 
 POLICIES = ("single", "fleet", "local", "fifo")
-SLACK_SECONDS = 30.0
-START_SECONDS = 45.0
-LEAST_IDLE_CORES = 1.0
+END_MARGIN_SECONDS = 30.0
+START_TIMEOUT_SECONDS = 45.0
+MIN_IDLE_CORES = 1.0
 
 
 def main() -> int:
@@ -42,13 +42,15 @@
             flags = [f"--policy={policy}", *([f"--trace={trace}"] if options.plot else [])]
             runs[policy] = Child("policy_run", *flags, *arguments)
         for run in runs.values():
-            run.read(START_SECONDS)
-        idle, began = idle_core_seconds(), time.monotonic()
+            run.read(START_TIMEOUT_SECONDS)
+        idle_before, measured_from = idle_core_seconds(), time.monotonic()
         for run in runs.values():
             run.write(b"go\n")
-        seconds = options.calm + options.flood + len(EVENTS) * options.event + SLACK_SECONDS
-        figures = {policy: run.read(seconds) for policy, run in runs.items()}
-        idle_cores = (idle_core_seconds() - idle) / (time.monotonic() - began)
+        seconds = (
+            options.calm + options.flood + len(FAULT_PHASES) * options.event + END_MARGIN_SECONDS
+        )
+        metrics = {policy: run.read(seconds) for policy, run in runs.items()}
+        idle_cores = (idle_core_seconds() - idle_before) / (time.monotonic() - measured_from)
     finally:
         for run in runs.values():
             run.kill()
@@ -63,12 +65,12 @@
         "seconds": round(time.monotonic() - started, 1),
         "cores": os.cpu_count(),
         "idle_cores_mean": round(idle_cores, 1),
-        "saturated": idle_cores < LEAST_IDLE_CORES,
-        "policies": figures,
+        "saturated": idle_cores < MIN_IDLE_CORES,
+        "policies": metrics,
     }
-    if FLEET in figures:
-        result["fleet_against"] = compare(figures, FLEET)
-    print(make_table(figures))
+    if FLEET in metrics:
+        result["fleet_against"] = compare(metrics, FLEET)
+    print(make_table(metrics))
     print(json.dumps(result))
     return 0
 
--- a/packages/loomyard-standins/src/loomyard_standins/benches/gap.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/gap.py
@@ -41,21 +41,25 @@
     return _largest_gap(total, weights, lambda i, j: (backlog[i] & backlog[j]).any(axis=0), window)
 
 
-def _largest_gap(service: np.ndarray, weights: np.ndarray, joint, window: np.ndarray) -> Gap:
+def _largest_gap(
+    service: np.ndarray, weights: np.ndarray, both_backlogged, window: np.ndarray
+) -> Gap:
     zero = np.zeros((len(weights), 1))
-    levels = np.concatenate([zero, np.cumsum(service, axis=1)], axis=1) / weights[:, None]
+    normalized_service = (
+        np.concatenate([zero, np.cumsum(service, axis=1)], axis=1) / weights[:, None]
+    )
     worst = Gap()
     for i, j in combinations(range(len(weights)), 2):
-        difference = levels[i] - levels[j]
-        for start, stop in runs(joint(i, j) & window):
-            part = difference[start : stop + 1]
-            units = float(part.max() - part.min())
+        difference = normalized_service[i] - normalized_service[j]
+        for start, stop in true_ranges(both_backlogged(i, j) & window):
+            span = difference[start : stop + 1]
+            units = float(span.max() - span.min())
             if units > worst.units:
                 worst = Gap(units=units, accounts=(i, j))
     return worst
 
 
-def runs(mask: np.ndarray) -> list[tuple[int, int]]:
+def true_ranges(mask: np.ndarray) -> list[tuple[int, int]]:
     """Return the half-open index ranges of consecutive true values."""
     edges = np.flatnonzero(np.diff(np.concatenate([[False], mask, [False]]).astype(np.int8)))
     return list(zip(edges[::2].tolist(), edges[1::2].tolist(), strict=True))
--- a/packages/loomyard-standins/src/loomyard_standins/benches/http_request.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/http_request.py
@@ -5,7 +5,7 @@
 from attrs import frozen
 from gevent import socket
 
-BLOCK = 65536
+READ_BYTES = 65536
 HEAD_END = b"\r\n\r\n"
 
 
@@ -32,8 +32,8 @@
             if not self._fill():
                 return None
         head, _, self._buffer = self._buffer.partition(HEAD_END)
-        first, *lines = head.decode("latin-1").split("\r\n")
-        method, path, _ = first.split(" ", 2)
+        request_line, *lines = head.decode("latin-1").split("\r\n")
+        method, path, _ = request_line.split(" ", 2)
         pairs = (line.partition(":") for line in lines)
         headers = {name.lower(): value.strip() for name, _, value in pairs}
         length = int(headers.get("content-length", 0))
@@ -45,19 +45,19 @@
 
     def _fill(self) -> bool:
         try:
-            data = self._connection.recv(BLOCK)
+            data = self._connection.recv(READ_BYTES)
         except OSError:
             return False
         self._buffer += data
         return bool(data)
 
 
-def send_at_once(connection: socket.socket) -> None:
+def disable_nagle(connection: socket.socket) -> None:
     """Set TCP_NODELAY, so that small writes are sent at once."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def answer_json(connection: socket.socket, body: bytes, attempt: str = "") -> None:
+def send_json(connection: socket.socket, body: bytes, attempt: str = "") -> None:
     """Send a JSON answer with status 200."""
     head = (
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
--- a/packages/loomyard-standins/src/loomyard_standins/benches/landing.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/load_balancer.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Landing:
+class LoadBalancer:
     """Map callers to router ports, failing over to the next router; ``ports`` may change."""
 
     def __init__(self, ports: list[int]) -> None:
--- a/packages/loomyard-standins/src/loomyard_standins/benches/locality.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/locality.py
@@ -39,10 +39,10 @@
 PREFILL_SECONDS = 0.1
 CACHED_PREFIXES = 40
 PREFIXES = 320
-ZIPF = 1.0
+ZIPF_EXPONENT = 1.0
 MEAN_TOKENS = 10
-LOW_RATE = 220.0
-HIGH_RATE = 330.0
+LOW_RATE_PER_SECOND = 220.0
+HIGH_RATE_PER_SECOND = 330.0
 SAMPLE_SECONDS = 0.05
 MAX_MILLISECONDS = 60_000
 SERVICE = "assistant"
@@ -63,13 +63,13 @@
 
 
 MODES = (
-    Mode(name="freest", rate=LOW_RATE, locality=False),
-    Mode(name="locality", rate=LOW_RATE, locality=True),
-    Mode(name="locality_no_events", rate=LOW_RATE, locality=True, events=False),
-    Mode(name="locality_no_bound", rate=LOW_RATE, locality=True, margin=1.0),
-    Mode(name="freest_high", rate=HIGH_RATE, locality=False),
-    Mode(name="locality_high", rate=HIGH_RATE, locality=True),
-    Mode(name="locality_no_bound_high", rate=HIGH_RATE, locality=True, margin=1.0),
+    Mode(name="freest", rate=LOW_RATE_PER_SECOND, locality=False),
+    Mode(name="locality", rate=LOW_RATE_PER_SECOND, locality=True),
+    Mode(name="locality_no_events", rate=LOW_RATE_PER_SECOND, locality=True, events=False),
+    Mode(name="locality_no_bound", rate=LOW_RATE_PER_SECOND, locality=True, margin=1.0),
+    Mode(name="freest_high", rate=HIGH_RATE_PER_SECOND, locality=False),
+    Mode(name="locality_high", rate=HIGH_RATE_PER_SECOND, locality=True),
+    Mode(name="locality_no_bound_high", rate=HIGH_RATE_PER_SECOND, locality=True, margin=1.0),
 )
 
 
@@ -85,8 +85,8 @@
     in_flight: Counter[str] = field(factory=Counter)
     freed: Event = field(factory=Event)
     latency: HdrHistogram = field(factory=lambda: HdrHistogram(1, MAX_MILLISECONDS, 3))
-    waits: HdrHistogram = field(factory=lambda: HdrHistogram(1, MAX_MILLISECONDS, 3))
-    spreads: list[float] = field(factory=list)
+    slot_waits: HdrHistogram = field(factory=lambda: HdrHistogram(1, MAX_MILLISECONDS, 3))
+    imbalances: list[float] = field(factory=list)
     done: int = 0
 
     def request(self, number: int, router: KnownTargets, prompt: str, tokens: int) -> None:
@@ -94,8 +94,8 @@
         document = {"model": SERVICE, "prompt": prompt, "max_tokens": tokens}
         prefix = prompt_prefix_digest(document)
         started = time.monotonic()
-        target = self._take_slot(router, prefix if self.mode.locality else "")
-        self.waits.record_value(_milliseconds(started))
+        target = self._acquire_slot(router, prefix if self.mode.locality else "")
+        self.slot_waits.record_value(_milliseconds(started))
         name = target.metadata.name
         if self.mode.locality:
             router.record_prefix(name, prefix)
@@ -117,14 +117,14 @@
         self.latency.record_value(_milliseconds(started))
         self.done += 1
 
-    def watch(self) -> None:
+    def sample_imbalance(self) -> None:
         """Sample the difference in slot use between the busiest and the idlest target."""
         while True:
             busy = [self.in_flight[target.metadata.name] for target in self.targets]
-            self.spreads.append((max(busy) - min(busy)) / SLOTS)
+            self.imbalances.append((max(busy) - min(busy)) / SLOTS)
             gevent.sleep(SAMPLE_SECONDS)
 
-    def _take_slot(self, router: KnownTargets, prefix: str) -> Target:
+    def _acquire_slot(self, router: KnownTargets, prefix: str) -> Target:
         while True:
             candidates = [
                 Candidate(target=t, free=SLOTS - self.in_flight[t.metadata.name], slots=SLOTS)
@@ -140,8 +140,8 @@
 
 def main() -> int:
     """Run each mode with the same random seed and print one JSON object."""
-    figures = {mode.name: _measure(mode) for mode in MODES}
-    print(json.dumps({"bench": "locality", "seed": SEED, "modes": figures}))
+    metrics = {mode.name: _measure(mode) for mode in MODES}
+    print(json.dumps({"bench": "locality", "seed": SEED, "modes": metrics}))
     return 0
 
 
@@ -149,26 +149,26 @@
     run = _prepare(mode)
     for router in run.routers:
         router.start()
-    watcher = gevent.spawn(run.watch)
-    calls = _arrive(run)
+    sampler = gevent.spawn(run.sample_imbalance)
+    calls = _send_requests(run)
     gevent.joinall(calls, raise_error=True)
-    watcher.kill()
+    sampler.kill()
     for router in run.routers:
         router.stop()
     for server in run.servers:
         server.stop()
     hits = sum(server.cache.hits for server in run.servers)
     misses = sum(server.cache.misses for server in run.servers)
-    figures = {
+    metrics = {
         "requests": run.done,
         "hit_rate": round(hits / (hits + misses), 4),
         "latency_p50_ms": run.latency.get_value_at_percentile(50),
         "latency_p99_ms": run.latency.get_value_at_percentile(99),
-        "slot_wait_p99_ms": run.waits.get_value_at_percentile(99),
-        "spread_mean": round(sum(run.spreads) / len(run.spreads), 4),
+        "slot_wait_p99_ms": run.slot_waits.get_value_at_percentile(99),
+        "spread_mean": round(sum(run.imbalances) / len(run.imbalances), 4),
     }
-    print(mode.name, figures, flush=True)
-    return figures
+    print(mode.name, metrics, flush=True)
+    return metrics
 
 
 def _prepare(mode: Mode) -> Run:
@@ -207,9 +207,9 @@
     return Routing(fold(ConfigState(), 0, change)[0])
 
 
-def _arrive(run: Run) -> list[gevent.Greenlet]:
+def _send_requests(run: Run) -> list[gevent.Greenlet]:
     rng = random.Random(SEED)
-    weights = [1 / (rank + 1) ** ZIPF for rank in range(PREFIXES)]
+    weights = [1 / (rank + 1) ** ZIPF_EXPONENT for rank in range(PREFIXES)]
     started = at = time.monotonic()
     calls: list[gevent.Greenlet] = []
     while at < started + SECONDS:
--- a/packages/loomyard-standins/src/loomyard_standins/benches/orders.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/orders.py
@@ -24,8 +24,8 @@
     from loomyard.external.engine import EngineOrder
     from loomyard_router.application import Application
 
-LIMIT_SECONDS = 45.0
-CALL_EVERY = 0.25
+TIMEOUT_SECONDS = 45.0
+CALL_INTERVAL_SECONDS = 0.25
 HTTP_OK = 200
 SERVICES = ("tagger", "drafts")
 
@@ -42,15 +42,15 @@
     fleet.engines.extend(engines)
     fleet.publish(_objects(engines))
     try:
-        keeper = _find_keeper(fleet)
+        order_controller = _remove_order_controller(fleet)
         first = _await_service(fleet.routers, SERVICES[0])
-        keeper.stop()
+        order_controller.stop()
         second = _await_service(fleet.routers, SERVICES[1])
     finally:
         orders = [[_describe(order) for order in engine.orders.taken] for engine in engines]
         fleet.stop()
-    figures = {"first": first, "after_keeper_stopped": second, "orders": orders}
-    print(json.dumps({"bench": "orders", **figures}))
+    metrics = {"first": first, "after_keeper_stopped": second, "orders": orders}
+    print(json.dumps({"bench": "orders", **metrics}))
     return 0
 
 
@@ -72,11 +72,11 @@
     return objects
 
 
-def _find_keeper(fleet: StandinFleet) -> Application:
+def _remove_order_controller(fleet: StandinFleet) -> Application:
     name = find_allocator(fleet.routers[0].components.members)
-    keeper = next(r for r in fleet.routers if r.components.members.own.name == name)
-    fleet.routers.remove(keeper)
-    return keeper
+    order_controller = next(r for r in fleet.routers if r.components.members.own.name == name)
+    fleet.routers.remove(order_controller)
+    return order_controller
 
 
 def _await_service(routers: list[Application], service: str) -> dict[str, object]:
@@ -84,19 +84,19 @@
     started = time.monotonic()
     statuses: Counter[str] = Counter()
     number = 0
-    while time.monotonic() - started < LIMIT_SECONDS:
+    while time.monotonic() - started < TIMEOUT_SECONDS:
         number += 1
         router = routers[number % len(routers)]
         status = _call(router.port, service)
         statuses[str(status)] += 1
         if status == HTTP_OK:
             break
-        gevent.sleep(CALL_EVERY)
+        gevent.sleep(CALL_INTERVAL_SECONDS)
     return {"seconds": round(time.monotonic() - started, 1), "statuses": dict(statuses)}
 
 
 def _call(port: int, service: str) -> int:
-    client = HTTPClient("127.0.0.1", port, network_timeout=LIMIT_SECONDS)
+    client = HTTPClient("127.0.0.1", port, network_timeout=TIMEOUT_SECONDS)
     headers = {"Authorization": f"Bearer {sample_key('kiosk')}"}
     body = json.dumps({"model": service, "prompt": "hi", "max_tokens": 2})
     try:
--- a/packages/loomyard-standins/src/loomyard_standins/benches/plain_target.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/plain_target.py
@@ -10,7 +10,7 @@
 from gevent.server import StreamServer
 
 from loomyard_standins.benches.busy_meter import BusyMeter
-from loomyard_standins.benches.http_request import RequestReader, answer_json, send_at_once
+from loomyard_standins.benches.http_request import RequestReader, disable_nagle, send_json
 
 if TYPE_CHECKING:
     from gevent import socket
@@ -38,12 +38,12 @@
         """Do nothing; only engines work in steps."""
 
     def _serve(self, connection: socket.socket, _: object) -> None:
-        send_at_once(connection)
+        disable_nagle(connection)
         reader = RequestReader(connection)
         while (request := reader.read()) is not None:
             if request.method == "POST" and request.body:
                 self._work(min(MAX_SECONDS, float(json.loads(request.body)["seconds"])))
-            answer_json(connection, b"{}", request.headers.get("loomyard-attempt", ""))
+            send_json(connection, b"{}", request.headers.get("loomyard-attempt", ""))
 
     def _work(self, seconds: float) -> None:
         with self._workers:
--- a/packages/loomyard-standins/src/loomyard_standins/benches/plots.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/plots.py
@@ -39,11 +39,11 @@
         for number, plan in enumerate(workload.accounts):
             if not service[number].any():
                 continue
-            level = np.cumsum(service[number])[::step] / plan.weight / 1000
-            at = np.arange(level.size) * step * BUCKET_SECONDS
+            normalized_service = np.cumsum(service[number])[::step] / plan.weight / 1000
+            seconds = np.arange(normalized_service.size) * step * BUCKET_SECONDS
             axis.plot(
-                at,
-                level,
+                seconds,
+                normalized_service,
                 linewidth=0.9,
                 label=plan.name,
                 color=f"C{number % 10}",
--- a/packages/loomyard-standins/src/loomyard_standins/benches/policy_run.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/policy_run.py
@@ -13,18 +13,18 @@
 import numpy as np  # noqa: E402
 
 from loomyard_standins.benches.bench_fleet import SINGLE, BenchFleet  # noqa: E402
-from loomyard_standins.benches.child import announce, end_with_parent  # noqa: E402
+from loomyard_standins.benches.child import exit_with_parent, send_to_parent  # noqa: E402
 from loomyard_standins.benches.control_workload import make_control_workload  # noqa: E402
+from loomyard_standins.benches.counter_snapshot import take_snapshot  # noqa: E402
 from loomyard_standins.benches.driver import Driver  # noqa: E402
-from loomyard_standins.benches.events import Events  # noqa: E402
-from loomyard_standins.benches.figures import make_figures  # noqa: E402
-from loomyard_standins.benches.landing import Landing  # noqa: E402
-from loomyard_standins.benches.reading import read_counters  # noqa: E402
+from loomyard_standins.benches.fault_injector import FaultInjector  # noqa: E402
+from loomyard_standins.benches.load_balancer import LoadBalancer  # noqa: E402
+from loomyard_standins.benches.run_metrics import make_run_metrics  # noqa: E402
 from loomyard_standins.benches.timeline import WARM_UP_SECONDS, Phase, Timeline  # noqa: E402
 from loomyard_standins.benches.trace import Trace  # noqa: E402
 from loomyard_standins.benches.workload import ROUTERS, USERS, Workload, make_workload  # noqa: E402
 
-BEFORE_EVENTS = 0.3
+SNAPSHOT_LEAD_SECONDS = 0.3
 
 
 def main() -> int:
@@ -36,35 +36,35 @@
     fleet = BenchFleet(workload, policy=options.policy, routers=routers)
     try:
         fleet.start()
-        announce(ready=True)
+        send_to_parent(ready=True)
         sys.stdin.buffer.raw.readline()
-        end_with_parent()
+        exit_with_parent()
         trace = Trace(
             accounts=len(workload.accounts),
             services=len(workload.services),
             seconds=timeline.end,
         )
-        landing = Landing(fleet.ports)
-        driver = Driver(workload, timeline, trace, landing, options.seed)
-        landing = Landing(fleet.ports)
-        driver = Driver(workload, timeline, trace, landing, options.seed)
-        warm = gevent.spawn_later(WARM_UP_SECONDS, read_counters, fleet)
-        read_at = timeline.end_of(Phase.FLOOD) - BEFORE_EVENTS
-        loaded = gevent.spawn_later(read_at, read_counters, fleet)
-        events = Events(fleet, landing, timeline)
+        balancer = LoadBalancer(fleet.ports)
+        driver = Driver(workload, timeline, trace, balancer, options.seed)
+        balancer = LoadBalancer(fleet.ports)
+        driver = Driver(workload, timeline, trace, balancer, options.seed)
+        warm_snapshot = gevent.spawn_later(WARM_UP_SECONDS, take_snapshot, fleet)
+        snapshot_at = timeline.end_of(Phase.FLOOD) - SNAPSHOT_LEAD_SECONDS
+        loaded_snapshot = gevent.spawn_later(snapshot_at, take_snapshot, fleet)
+        faults = FaultInjector(fleet, balancer, timeline)
         if timeline.event and routers > 1:
-            gevent.spawn(events.run, trace.started)
+            gevent.spawn(faults.run, trace.started)
         driver.run(idle=options.idle)
-        before, after = warm.get(timeout=1.0), loaded.get(timeout=1.0)
-        report = fleet.end_engines()
+        before, after = warm_snapshot.get(timeout=1.0), loaded_snapshot.get(timeout=1.0)
+        report = fleet.stop_engines()
     finally:
         fleet.stop()
-    figures = make_figures(workload, timeline, trace, driver, report, (before, after))
+    metrics = make_run_metrics(workload, timeline, trace, driver, report, (before, after))
     if timeline.event:
-        figures["restarted_configured_after_s"] = events.configured_after
+        metrics["restarted_configured_after_s"] = faults.configured_after
     if options.trace:
         np.savez_compressed(options.trace, service=trace.service)
-    announce(**figures)
+    send_to_parent(**metrics)
     return 0
 
 
--- a/packages/loomyard-standins/src/loomyard_standins/benches/relay.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/relay.py
@@ -31,7 +31,7 @@
 SATURATED_STREAMS = 60
 SATURATED_TOKENS = 20_000
 SATURATED_SECONDS = 4.0
-STEP = 0.003
+STEP_SECONDS = 0.003
 PACED_STREAMS = 60
 PACED_TOKENS = 1_000
 FULL_STREAMS = 240
@@ -41,7 +41,7 @@
 HALF_LOAD = 0.5
 IDLE_STREAMS = 500
 SETTLE_SECONDS = 0.7
-TICKS = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
 
 def main() -> int:
@@ -68,13 +68,13 @@
 
 def _measure(pid: int, routed: list[str], direct: list[str]) -> dict[str, object]:
     _await_ready(routed[0])
-    memory = _memory_per_stream(pid, routed)
-    saturated = _throughput(pid, routed, SATURATED_STREAMS, SATURATED_TOKENS, 0.0)
-    paced = _throughput(pid, routed, PACED_STREAMS, PACED_TOKENS, STEP)
-    full = _throughput(pid, routed, FULL_STREAMS, PACED_TOKENS, STEP)
+    memory = _measure_memory_per_stream(pid, routed)
+    saturated = _measure_throughput(pid, routed, SATURATED_STREAMS, SATURATED_TOKENS, 0.0)
+    paced = _measure_throughput(pid, routed, PACED_STREAMS, PACED_TOKENS, STEP_SECONDS)
+    full = _measure_throughput(pid, routed, FULL_STREAMS, PACED_TOKENS, STEP_SECONDS)
     streams = max(1, int(PACED_STREAMS * HALF_LOAD / float(paced["cores"])))
-    through = _first_token(pid, routed, streams)
-    straight = _first_token(pid, direct, streams)
+    routed_ttft = _measure_ttft(pid, routed, streams)
+    direct_ttft = _measure_ttft(pid, direct, streams)
     return {
         "saturated": saturated,
         "paced": paced,
@@ -82,15 +82,15 @@
         "memory_per_stream_bytes": memory,
         "half_load": {
             "streams": streams,
-            "router": through,
-            "direct": straight,
-            "added_p50_ms": round(through["p50_ms"] - straight["p50_ms"], 3),
-            "added_p99_ms": round(through["p99_ms"] - straight["p99_ms"], 3),
+            "router": routed_ttft,
+            "direct": direct_ttft,
+            "added_p50_ms": round(routed_ttft["p50_ms"] - direct_ttft["p50_ms"], 3),
+            "added_p99_ms": round(routed_ttft["p99_ms"] - direct_ttft["p99_ms"], 3),
         },
     }
 
 
-def _throughput(
+def _measure_throughput(
     pid: int, address: list[str], streams: int, tokens: int, step: float
 ) -> dict[str, object]:
     seconds = PACED_SECONDS if step else SATURATED_SECONDS
@@ -110,12 +110,12 @@
     }
 
 
-def _first_token(pid: int, address: list[str], streams: int) -> dict[str, float]:
+def _measure_ttft(pid: int, address: list[str], streams: int) -> dict[str, float]:
     before = _cpu_seconds(pid)
-    clients = _start_streams(address, streams, PACED_TOKENS, STEP, LOAD_SECONDS)
+    clients = _start_streams(address, streams, PACED_TOKENS, STEP_SECONDS, LOAD_SECONDS)
     gevent.sleep(SETTLE_SECONDS)
     seconds = LOAD_SECONDS - 2 * SETTLE_SECONDS
-    probe = _client(address, "--probes", PROBES_PER_SECOND, "--seconds", seconds)
+    probe = _spawn_client(address, "--probes", PROBES_PER_SECOND, "--seconds", seconds)
     result = json.loads(probe.communicate()[0])
     results = [json.loads(client.communicate()[0]) for client in clients]
     result["events_per_second"] = round(sum(r["events"] for r in results) / LOAD_SECONDS)
@@ -124,16 +124,16 @@
     return result
 
 
-def _memory_per_stream(pid: int, address: list[str]) -> int:
+def _measure_memory_per_stream(pid: int, address: list[str]) -> int:
     for _ in range(2):
         # The first round makes the memory allocator grow; the second shows the streams' memory.
-        client = _client(
+        client = _spawn_client(
             address, "--streams", IDLE_STREAMS, "--tokens", 40, "--step", 0.1, "--seconds", 4.0
         )
         gevent.sleep(0.1)
-        before = _memory(pid)
+        before = _resident_bytes(pid)
         gevent.sleep(3.0)
-        during = _memory(pid)
+        during = _resident_bytes(pid)
         client.communicate()
         gevent.sleep(SETTLE_SECONDS)
         if _ == 0:
@@ -146,10 +146,10 @@
 ) -> list[subprocess.Popen]:
     counts = [streams // CLIENTS + (number < streams % CLIENTS) for number in range(CLIENTS)]
     options = ("--tokens", tokens, "--step", step, "--seconds", seconds)
-    return [_client(address, "--streams", count, *options) for count in counts if count]
+    return [_spawn_client(address, "--streams", count, *options) for count in counts if count]
 
 
-def _client(address: list[str], *options: object) -> subprocess.Popen:
+def _spawn_client(address: list[str], *options: object) -> subprocess.Popen:
     arguments = [str(option) for option in options]
     return _spawn("loomyard_standins.benches.relay_client", "--address", *address, *arguments)
 
@@ -201,10 +201,10 @@
 
 def _cpu_seconds(pid: int) -> float:
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
 
-def _memory(pid: int) -> int:
+def _resident_bytes(pid: int) -> int:
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) * 1024
--- a/packages/loomyard-standins/src/loomyard_standins/benches/relay_client.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/relay_client.py
@@ -16,14 +16,14 @@
 from hdrh.histogram import HdrHistogram  # noqa: E402
 
 KEY = "key-kiosk"
-READ_SIZE = 262144
+READ_BYTES = 262144
 MAX_MICROSECONDS = 60_000_000
 EVENT_END = b"\n\n"
 DONE = b"[DONE]"
 STREAM_END = b"0\r\n\r\n"
 
 
-class Counts:
+class StreamCounts:
     """Events and bytes received by all streams of this process."""
 
     def __init__(self) -> None:
@@ -46,23 +46,25 @@
 
 
 def _stream(options: argparse.Namespace) -> dict[str, float]:
-    counts = Counts()
+    counts = StreamCounts()
     started = time.monotonic()
     until = started + options.seconds
-    tasks = [gevent.spawn(_loop, options, n, until, counts) for n in range(options.streams)]
+    tasks = [gevent.spawn(_read_streams, options, n, until, counts) for n in range(options.streams)]
     gevent.sleep(options.seconds)
-    taken = time.monotonic() - started
-    result = {"events": counts.events, "bytes": counts.bytes, "seconds": taken}
+    elapsed = time.monotonic() - started
+    result = {"events": counts.events, "bytes": counts.bytes, "seconds": elapsed}
     gevent.killall(tasks)
     return result
 
 
-def _loop(options: argparse.Namespace, number: int, until: float, counts: Counts) -> None:
+def _read_streams(
+    options: argparse.Namespace, number: int, until: float, counts: StreamCounts
+) -> None:
     while time.monotonic() < until:
-        sock = _open(options, number, options.tokens)
+        sock = _open_stream(options, number, options.tokens)
         tail = b""
         while DONE not in tail:
-            data = sock.recv(READ_SIZE)
+            data = sock.recv(READ_BYTES)
             if not data:
                 break
             counts.events += data.count(EVENT_END)
@@ -83,17 +85,17 @@
         sock.sendall(request)
         data = b""
         while EVENT_END not in data:
-            data += sock.recv(READ_SIZE)
+            data += sock.recv(READ_BYTES)
         histogram.record_value(max(1, int(1e6 * (time.perf_counter() - started))))
         while not data.endswith(STREAM_END):
-            data += sock.recv(READ_SIZE)
+            data += sock.recv(READ_BYTES)
         number += 1
         gevent.sleep(1.0 / options.probes)
     p50, p99 = (histogram.get_value_at_percentile(p) / 1000.0 for p in (50.0, 99.0))
     return {"count": number, "p50_ms": p50, "p99_ms": p99}
 
 
-def _open(options: argparse.Namespace, number: int, tokens: int) -> socket:
+def _open_stream(options: argparse.Namespace, number: int, tokens: int) -> socket:
     sock = _connect(options, number)
     sock.sendall(_request(tokens, options.step))
     return sock
--- a/packages/loomyard-standins/src/loomyard_standins/benches/relay_engine.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/relay_engine.py
@@ -14,13 +14,13 @@
 from gevent.socket import IPPROTO_TCP, TCP_NODELAY, socket  # noqa: E402
 
 HEAD_END = b"\r\n\r\n"
-READ_SIZE = 65536
+READ_BYTES = 65536
 CHUNK = (
     '{"id": "bench", "object": "text_completion", "created": 0, "model": "assistant",'
     ' "choices": [{"index": 0, "finish_reason": null, "logprobs": null, "text": " token"}]}'
 )
 USAGE = '{"choices": [], "usage": {"prompt_tokens": 1, "completion_tokens": %d}}'
-YIELD_EVERY = 64
+YIELD_INTERVAL_EVENTS = 64
 
 
 def main() -> int:
@@ -48,18 +48,18 @@
         return
 
 
-def _stream(sock: socket, head: bytes, asked: dict) -> None:
+def _stream(sock: socket, head: bytes, document: dict) -> None:
     attempt = _header(head, b"loomyard-attempt").decode()
     sock.sendall(
         b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"
         + f"Loomyard-Attempt: {attempt}\r\n\r\n".encode()
     )
-    tokens, step = int(asked["max_tokens"]), float(asked.get("step_seconds", 0.0))
+    tokens, step = int(document["max_tokens"]), float(document.get("step_seconds", 0.0))
     for number in range(tokens):
         sock.sendall(_event(number, CHUNK))
         if step:
             gevent.sleep(step)
-        elif number % YIELD_EVERY == 0:
+        elif number % YIELD_INTERVAL_EVENTS == 0:
             gevent.sleep(0)
     sock.sendall(_event(tokens, USAGE % tokens) + _event(tokens + 1, "[DONE]") + b"0\r\n\r\n")
 
@@ -71,14 +71,14 @@
 
 def _read(sock: socket, data: bytes) -> tuple[bytes, bytes, bytes]:
     while HEAD_END not in data:
-        block = sock.recv(READ_SIZE)
+        block = sock.recv(READ_BYTES)
         if not block:
             return b"", b"", b""
         data += block
     head, _, rest = data.partition(HEAD_END)
     length = int(_header(head, b"content-length") or 0)
     while len(rest) < length:
-        rest += sock.recv(READ_SIZE)
+        rest += sock.recv(READ_BYTES)
     return head, rest[:length], rest[length:]
 
 
--- a/packages/loomyard-standins/src/loomyard_standins/benches/slot_moves.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slot_moves.py
@@ -13,14 +13,14 @@
 
     def __init__(self, policy: SharePolicy) -> None:
         self.count = 0
-        if (held := getattr(policy, "_held", None)) is not None:
-            self._watch(held)
+        if (held_slots := getattr(policy, "_held", None)) is not None:
+            self._watch(held_slots)
 
-    def _watch(self, held: Any) -> None:
-        set_limit = held.set_limit
+    def _watch(self, held_slots: Any) -> None:
+        set_limit = held_slots.set_limit
 
-        def counted(target: bytes, limit: int) -> None:
-            self.count += max(0, limit - held.limit(target))
+        def set_limit_counted(target: bytes, limit: int) -> None:
+            self.count += max(0, limit - held_slots.limit(target))
             set_limit(target, limit)
 
-        held.set_limit = counted
+        held_slots.set_limit = set_limit_counted
--- a/packages/loomyard-standins/src/loomyard_standins/benches/slots.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slots.py
@@ -28,7 +28,7 @@
 
 SEED = 5
 SECONDS = 50.0
-SETTLED_AFTER = 30.0
+SETTLE_SECONDS = 30.0
 CONFIGURED_SLOTS = 8
 LIMITS = (4, 12, 24)
 LAG_SECONDS = 2.0
@@ -39,7 +39,7 @@
 
 
 @define(eq=False)
-class Subject:
+class DrivenEngine:
     """An engine under constant backlog, driven with the estimated or the configured slots."""
 
     server: EngineServer
@@ -50,16 +50,16 @@
     freed: Event = field(factory=Event)
     samples: list[tuple[float, int, int, int]] = field(factory=list)
 
-    def slots(self, directory: KnownTargets) -> int:
+    def slots(self, known_targets: KnownTargets) -> int:
         """Return the maximum number of concurrent requests."""
-        return directory.slots(self.target) if self.estimated else CONFIGURED_SLOTS
+        return known_targets.slots(self.target) if self.estimated else CONFIGURED_SLOTS
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """Return the metrics after settling, and the seconds until the limit was first reached.
 
         ``reached_after_s`` is -1 if it never was.
         """
-        settled = [s for s in self.samples if s[0] >= SETTLED_AFTER]
+        settled = [s for s in self.samples if s[0] >= SETTLE_SECONDS]
         reached = [at for at, slots, _, _ in self.samples if slots >= self.limit]
         count = len(settled)
         return {
@@ -75,25 +75,27 @@
 def main() -> int:
     """Run all engines side by side and print one JSON object."""
     engine = make_http_engine(SystemClock())
-    subjects = [_make(limit, estimated) for estimated in (True, False) for limit in LIMITS]
-    directory = _make_directory(engine, [subject.target for subject in subjects])
-    directory.start()
+    driven_engines = [
+        _make_driven_engine(limit, estimated) for estimated in (True, False) for limit in LIMITS
+    ]
+    known_targets = _make_known_targets(engine, [driven.target for driven in driven_engines])
+    known_targets.start()
     started = time.monotonic()
-    tasks = [gevent.spawn(_drive, subject, directory, engine) for subject in subjects]
-    tasks += [gevent.spawn(_sample, subject, directory, started) for subject in subjects]
+    tasks = [gevent.spawn(_drive, driven, known_targets, engine) for driven in driven_engines]
+    tasks += [gevent.spawn(_sample, driven, known_targets, started) for driven in driven_engines]
     gevent.sleep(SECONDS)
     gevent.killall(tasks)
-    directory.stop()
-    figures = {}
-    for subject in subjects:
-        name = f"{'estimated' if subject.estimated else 'configured'}_{subject.limit}"
-        figures[name] = subject.figures()
-        print(name, figures[name])
-    print(json.dumps({"bench": "slots", "lag_s": LAG_SECONDS, "engines": figures}))
+    known_targets.stop()
+    metrics = {}
+    for driven in driven_engines:
+        name = f"{'estimated' if driven.estimated else 'configured'}_{driven.limit}"
+        metrics[name] = driven.metrics()
+        print(name, metrics[name])
+    print(json.dumps({"bench": "slots", "lag_s": LAG_SECONDS, "engines": metrics}))
     return 0
 
 
-def _make(limit: int, estimated: bool) -> Subject:
+def _make_driven_engine(limit: int, estimated: bool) -> DrivenEngine:
     server = EngineServer(
         model=SERVICE, slots=limit, step_seconds=STEP_SECONDS, load_lag=LAG_SECONDS
     )
@@ -102,36 +104,36 @@
     target = Target(
         metadata=Metadata(name=name), url=server.url, services=[SERVICE], slots=CONFIGURED_SLOTS
     )
-    return Subject(server, target, limit, estimated)
+    return DrivenEngine(server, target, limit, estimated)
 
 
-def _make_directory(engine: Engine, targets: list[Target]) -> KnownTargets:
+def _make_known_targets(engine: Engine, targets: list[Target]) -> KnownTargets:
     own = Member(name="router", incarnation=1, address="", data_centre="")
-    directory = make_known_targets(SystemClock(), engine, SoleMembership(own), NoPeers())
+    known_targets = make_known_targets(SystemClock(), engine, SoleMembership(own), NoPeers())
     objects = [Service(metadata=Metadata(name=SERVICE)), *targets]
     change = Change(change_id="bench", puts=[Put(object=item) for item in objects])
-    directory.reconfigure(Routing(fold(ConfigState(), 0, change)[0]))
-    return directory
+    known_targets.reconfigure(Routing(fold(ConfigState(), 0, change)[0]))
+    return known_targets
 
 
-def _drive(subject: Subject, directory: KnownTargets, engine: Engine) -> None:
+def _drive(driven: DrivenEngine, known_targets: KnownTargets, engine: Engine) -> None:
     rng = random.Random(SEED)
     number = 0
     while True:
-        while subject.in_flight >= subject.slots(directory):
-            subject.freed.clear()
-            subject.freed.wait(timeout=SAMPLE_SECONDS)
+        while driven.in_flight >= driven.slots(known_targets):
+            driven.freed.clear()
+            driven.freed.wait(timeout=SAMPLE_SECONDS)
         number += 1
-        subject.in_flight += 1
+        driven.in_flight += 1
         tokens = max(1, round(rng.expovariate(1 / MEAN_TOKENS)))
-        gevent.spawn(_call, subject, engine, number, tokens)
+        gevent.spawn(_call, driven, engine, number, tokens)
 
 
-def _call(subject: Subject, engine: Engine, number: int, tokens: int) -> None:
+def _call(driven: DrivenEngine, engine: Engine, number: int, tokens: int) -> None:
     body = {"model": SERVICE, "prompt": f"{number}", "max_tokens": tokens}
     call = TargetCall(
-        attempt_id=f"{subject.target.metadata.name}-{number}",
-        url=subject.target.url,
+        attempt_id=f"{driven.target.metadata.name}-{number}",
+        url=driven.target.url,
         method="POST",
         path="/v1/completions",
         headers=[("Content-Type", "application/json")],
@@ -142,15 +144,15 @@
     while answer.read().unwrap():
         pass
     answer.close()
-    subject.in_flight -= 1
-    subject.freed.set()
+    driven.in_flight -= 1
+    driven.freed.set()
 
 
-def _sample(subject: Subject, directory: KnownTargets, started: float) -> None:
+def _sample(driven: DrivenEngine, known_targets: KnownTargets, started: float) -> None:
     while True:
-        server = subject.server
+        server = driven.server
         at = time.monotonic() - started
-        subject.samples.append((at, subject.slots(directory), server.running, server.waiting))
+        driven.samples.append((at, driven.slots(known_targets), server.running, server.waiting))
         gevent.sleep(SAMPLE_SECONDS)
 
 
--- a/packages/loomyard-standins/src/loomyard_standins/benches/timeline.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/timeline.py
@@ -10,7 +10,7 @@
 from loomyard_standins.benches.trace import BUCKET_SECONDS
 
 WARM_UP_SECONDS = 4.0
-SETTLING_SECONDS = 2.0
+SETTLE_SECONDS = 2.0
 
 
 class Phase(Enum):
@@ -20,11 +20,11 @@
     FLOOD = "flood"
     KILLED = "router_killed"
     RESTARTED = "router_restarted_empty"
-    CUT = "partition"
+    PARTITIONED = "partition"
     HEALED = "partition_healed"
 
 
-EVENTS = (Phase.KILLED, Phase.RESTARTED, Phase.CUT, Phase.HEALED)
+FAULT_PHASES = (Phase.KILLED, Phase.RESTARTED, Phase.PARTITIONED, Phase.HEALED)
 
 
 @frozen(kw_only=True)
@@ -38,7 +38,7 @@
     @property
     def phases(self) -> tuple[Phase, ...]:
         """Return the phases of this run, in order."""
-        return (Phase.CALM, Phase.FLOOD, *(EVENTS if self.event else ()))
+        return (Phase.CALM, Phase.FLOOD, *(FAULT_PHASES if self.event else ()))
 
     @property
     def end(self) -> float:
@@ -47,8 +47,8 @@
 
     def start_of(self, phase: Phase) -> float:
         """Return the start of a phase."""
-        before = self.phases[: self.phases.index(phase)]
-        return WARM_UP_SECONDS + sum(self._length(earlier) for earlier in before)
+        earlier_phases = self.phases[: self.phases.index(phase)]
+        return WARM_UP_SECONDS + sum(self._length(earlier) for earlier in earlier_phases)
 
     def end_of(self, phase: Phase) -> float:
         """Return the end of a phase."""
@@ -56,8 +56,8 @@
 
     def window(self, start: float, stop: float) -> np.ndarray:
         """Return a mask of the buckets that begin in ``start`` <= t < ``stop``."""
-        at = np.arange(round(self.end / BUCKET_SECONDS)) * BUCKET_SECONDS
-        return (at >= start) & (at < stop)
+        bucket_starts = np.arange(round(self.end / BUCKET_SECONDS)) * BUCKET_SECONDS
+        return (bucket_starts >= start) & (bucket_starts < stop)
 
     def _length(self, phase: Phase) -> float:
         lengths = {Phase.CALM: self.calm, Phase.FLOOD: self.flood}
--- a/packages/loomyard-standins/src/loomyard_standins/benches/utilisation.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/utilisation.py
@@ -31,9 +31,9 @@
 
     Shapes: ``backlog`` (account, service, bucket); ``window`` (bucket,).
     """
-    busy = offered = 0.0
+    busy = available = 0.0
     for number, load in enumerate(loads):
         waiting = backlog[:, number].any(axis=0) & window
         busy += np.diff(load.busy)[waiting].sum()
-        offered += load.slots * BUCKET_SECONDS * waiting.sum()
-    return float(busy / offered) if offered else 1.0
+        available += load.slots * BUCKET_SECONDS * waiting.sum()
+    return float(busy / available) if available else 1.0
--- a/packages/loomyard-standins/src/loomyard_standins/benches/window_figures.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/window_metrics.py
@@ -15,7 +15,7 @@
     from loomyard_standins.benches.workload import Workload
 
 
-class WindowFigures:
+class WindowMetrics:
     """Computes metrics of any window (mask of buckets) from the trace and the target report."""
 
     def __init__(self, workload: Workload, trace: Trace, report: dict) -> None:
@@ -24,31 +24,33 @@
         self._backlog = trace.backlog()
         self._loads = _loads(workload, trace, report)
         self._weights = np.array([plan.weight for plan in workload.accounts])
-        on_one = [len(plan.services) == 1 for plan in workload.accounts]
-        self._backlog_on_one = self._backlog & np.array(on_one)[:, None, None]
+        one_service = [len(plan.services) == 1 for plan in workload.accounts]
+        self._one_service_backlog = self._backlog & np.array(one_service)[:, None, None]
 
-    def short_of(self, window: np.ndarray) -> dict[str, Any]:
+    def gap_metrics(self, window: np.ndarray) -> dict[str, Any]:
         """Return the fairness gaps and the slot utilisation of a window."""
         service, backlog, weights = self._trace.service, self._backlog, self._weights
-        one = contender_gap(service, self._backlog_on_one, weights, window)
+        one_service_gap = contender_gap(service, self._one_service_backlog, weights, window)
         return {
-            "gap_one_service": self._describe(one),
+            "gap_one_service": self._describe(one_service_gap),
             "gap_contenders": self._describe(contender_gap(service, backlog, weights, window)),
             "gap_fleet": self._describe(fleet_gap(service, backlog, weights, window)),
-            "utilisation_percent": round_figure(100 * utilisation(self._loads, backlog, window)),
+            "utilisation_percent": round_significant(
+                100 * utilisation(self._loads, backlog, window)
+            ),
         }
 
-    def all_of(self, window: np.ndarray) -> dict[str, Any]:
+    def all_metrics(self, window: np.ndarray) -> dict[str, Any]:
         """Return all metrics of a window, with latency and throughput."""
         seconds = max(1, window.sum()) * BUCKET_SECONDS
-        queue = self._queue_times(window)
-        p50, p99 = (np.percentile(queue, [50, 99]) * 1000).tolist() if queue.size else (0.0, 0.0)
-        return self.short_of(window) | {
+        waits = self._times_to_first_service(window)
+        p50, p99 = (np.percentile(waits, [50, 99]) * 1000).tolist() if waits.size else (0.0, 0.0)
+        return self.gap_metrics(window) | {
             "gap_by_service": self._gap_by_service(window),
             "utilisation_by_service": self._utilisation_by_service(window),
-            "smallest_p50_ms": round_figure(p50),
-            "smallest_p99_ms": round_figure(p99),
-            "smallest_requests": int(queue.size),
+            "smallest_p50_ms": round_significant(p50),
+            "smallest_p99_ms": round_significant(p99),
+            "smallest_requests": int(waits.size),
             "units_per_s": round(float(self._trace.service[:, :, window].sum() / seconds)),
             "units_per_s_over_weight": {
                 plan.name: round(
@@ -63,7 +65,7 @@
         return {"units": round(gap.units), "accounts": names}
 
     def _gap_by_service(self, window: np.ndarray) -> dict[str, Any]:
-        service, backlog = self._trace.service, self._backlog_on_one
+        service, backlog = self._trace.service, self._one_service_backlog
         return {
             plan.name: self._describe(
                 contender_gap(service[:, n : n + 1], backlog[:, n : n + 1], self._weights, window)
@@ -73,29 +75,29 @@
 
     def _utilisation_by_service(self, window: np.ndarray) -> dict[str, float]:
         return {
-            plan.name: round_figure(
+            plan.name: round_significant(
                 100 * utilisation([self._loads[n]], self._backlog[:, n : n + 1], window)
             )
             for n, plan in enumerate(self._workload.services)
         }
 
-    def _queue_times(self, window: np.ndarray) -> np.ndarray:
+    def _times_to_first_service(self, window: np.ndarray) -> np.ndarray:
         """Return the seconds from sending to first service, of the smallest account's requests."""
         names = [plan.name for plan in self._workload.accounts]
         smallest = names.index(self._workload.smallest)
         trace = self._trace
         end = trace.started + trace.buckets * BUCKET_SECONDS
         times = []
-        for wait in trace.waits:
-            bucket = int((wait.sent - trace.started) / BUCKET_SECONDS)
-            if wait.account != smallest or wait.refused or bucket >= trace.buckets:
+        for request in trace.requests:
+            bucket = int((request.sent - trace.started) / BUCKET_SECONDS)
+            if request.account != smallest or request.refused or bucket >= trace.buckets:
                 continue
             if window[bucket]:
-                times.append((wait.served or end) - wait.sent)
+                times.append((request.served or end) - request.sent)
         return np.array(times)
 
 
-def round_figure(value: float) -> float:
+def round_significant(value: float) -> float:
     """Round to four significant digits."""
     return float(f"{value:.4g}")
 
--- a/tests/test_loomyard_standins/test_bench_engine.py
+++ b/tests/test_loomyard_standins/test_bench_engine.py
@@ -26,8 +26,8 @@
 
     def call(self, tokens: int, counts: list[int]) -> Any:
         caller = Caller(lambda: self.port, "key")
-        asked = {"model": "assistant", "prompt": "x" * 8, "max_tokens": tokens, "stream": True}
-        body = json.dumps(asked).encode()
+        document = {"model": "assistant", "prompt": "x" * 8, "max_tokens": tokens, "stream": True}
+        body = json.dumps(document).encode()
         self.addCleanup(caller.close)
         return caller.call("/v1/completions", body, None, counts.append)
 
@@ -39,7 +39,7 @@
             self.engine.step()
             if all(call.ready() for call in calls):
                 break
-        self.assertTrue(all(call.get(timeout=1).whole for call in calls))
+        self.assertTrue(all(call.get(timeout=1).complete for call in calls))
         self.assertEqual([sum(seen) for seen in counts], [3, 4, 5, 6, 7])
         busy = [count for _, count in self.engine.meter.changes]
         self.assertEqual((max(busy), busy[-1]), (SLOTS, 0))
@@ -59,7 +59,7 @@
                 gevent.sleep(0)
                 writer.sendall(answer[cut:])
                 reply = reading.get(timeout=1)
-            self.assertEqual((reply.status, reply.whole, sum(seen)), (200, True, 2), cut)
+            self.assertEqual((reply.status, reply.complete, sum(seen)), (200, True, 2), cut)
 
 
 if __name__ == "__main__":
--- a/tests/test_loomyard_standins/test_bench_gap.py
+++ b/tests/test_loomyard_standins/test_bench_gap.py
@@ -14,13 +14,13 @@
 ACCOUNTS, SERVICES, BUCKETS = 4, 2, 30
 
 
-def brute_force(service: np.ndarray, joint: np.ndarray, weights: np.ndarray) -> float:
+def brute_force(service: np.ndarray, both_backlogged: np.ndarray, weights: np.ndarray) -> float:
     """Return the largest gap over all account pairs and intervals with both backlogged."""
     worst = 0.0
     for i, j in combinations(range(len(weights)), 2):
         for start in range(BUCKETS):
             for stop in range(start + 1, BUCKETS + 1):
-                if not joint[i, j, start:stop].all():
+                if not both_backlogged[i, j, start:stop].all():
                     break
                 received = service[:, start:stop].sum(axis=1) / weights
                 worst = max(worst, abs(received[i] - received[j]))
@@ -34,20 +34,22 @@
         self.backlog = random.random((ACCOUNTS, SERVICES, BUCKETS)) < 0.85
         self.weights = np.array([1.0, 2.0, 1.0, 0.5])
         self.window = np.arange(BUCKETS) >= 3
-        self.joint = (
+        self.both_backlogged = (
             self.backlog[:, None] & self.backlog[None, :] & self.window
         )  # account, account, service, bucket
 
     def test_contenders_against_brute_force(self) -> None:
         expected = max(
-            brute_force(self.service[:, s], self.joint[:, :, s], self.weights)
+            brute_force(self.service[:, s], self.both_backlogged[:, :, s], self.weights)
             for s in range(SERVICES)
         )
         found = contender_gap(self.service, self.backlog, self.weights, self.window)
         self.assertAlmostEqual(found.units, expected)
 
     def test_fleet_against_brute_force(self) -> None:
-        expected = brute_force(self.service.sum(axis=1), self.joint.any(axis=2), self.weights)
+        expected = brute_force(
+            self.service.sum(axis=1), self.both_backlogged.any(axis=2), self.weights
+        )
         found = fleet_gap(self.service, self.backlog, self.weights, self.window)
         self.assertAlmostEqual(found.units, expected)
 
@@ -71,9 +73,9 @@
         trace = Trace(accounts=2, services=1, seconds=10 * BUCKET_SECONDS)
         trace.started = 0.0
         for sent, served in ((0.5, 3.2), (3.0, 5.1), (7.5, None)):
-            wait = trace.send(1, 0)
-            wait.sent = sent * BUCKET_SECONDS
-            wait.served = None if served is None else served * BUCKET_SECONDS
+            request = trace.record_sent(1, 0)
+            request.sent = sent * BUCKET_SECONDS
+            request.served = None if served is None else served * BUCKET_SECONDS
         covered = np.flatnonzero(trace.backlog()[1, 0]).tolist()
         self.assertEqual(covered, [1, 2, 3, 4, 8, 9])
         self.assertFalse(trace.backlog()[0].any())
