--- a/packages/loomyard-standins/src/loomyard_standins/benches/batch_stream.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/batch_stream.py
@@ -1,4 +1,4 @@
-"""One request in the batch of the bench's engine."""
+"""One request in the batch of the simulated engine."""
 
 from __future__ import annotations
 
@@ -12,56 +12,56 @@
 
 @define(eq=False)
 class BatchStream:
-    """A request: what it asks for, what was made, and the connection that gets it."""
+    """A completion request, the tokens generated so far and the connection of its answer."""
 
     attempt: str
     prompt_tokens: int
-    tokens: int
-    streamed: bool
+    max_tokens: int
+    is_stream: bool
     connection: socket.socket
-    made: int = 0
+    generated: int = 0
     cancelled: bool = False
-    broken: bool = False
+    disconnected: bool = False
     ended: Event = field(factory=Event)
     _unsent: bytes = b""
 
     def step(self) -> bool:
-        """Make a token; true where it was the last."""
-        if self.cancelled or self.broken:
+        """Generate one token; return true if the request has ended."""
+        if self.cancelled or self.disconnected:
             return True
-        if self.streamed:
-            self._send(_chunk(b"id: %d\n" % self.made + TOKEN_DATA))
-        self.made += 1
-        return self.made >= self.tokens
+        if self.is_stream:
+            self._send(_chunk(b"id: %d\n" % self.generated + TOKEN_DATA))
+        self.generated += 1
+        return self.generated >= self.max_tokens
 
     def close(self) -> None:
-        """Send the usage and the end of the stream."""
-        if self.streamed:
-            usage = b'id: %d\ndata: {"choices":[],"usage":%s}\n\n' % (self.made, self.usage())
-            done = b"id: %d\ndata: [DONE]\n\n" % (self.made + 1)
+        """Send the usage event, ``[DONE]`` and the last chunk; wake the waiting handler."""
+        if self.is_stream:
+            usage = b'id: %d\ndata: {"choices":[],"usage":%s}\n\n' % (self.generated, self.usage())
+            done = b"id: %d\ndata: [DONE]\n\n" % (self.generated + 1)
             self._send(_chunk(usage) + _chunk(done) + LAST_CHUNK)
         self.ended.set()
 
     def usage(self) -> bytes:
-        """Return the usage as JSON."""
-        total = self.prompt_tokens + self.made
-        counts = (self.prompt_tokens, self.made, total)
+        """Return the token counts as a JSON object."""
+        total = self.prompt_tokens + self.generated
+        counts = (self.prompt_tokens, self.generated, total)
         return b'{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d}' % counts
 
     def flush(self) -> None:
-        """Send what the socket did not take; the connection blocks again."""
-        if self._unsent and not self.broken:
+        """Send what the non-blocking socket did not accept; call once it blocks again."""
+        if self._unsent and not self.disconnected:
             self.connection.sendall(self._unsent)
 
     def _send(self, data: bytes) -> None:
-        # The connection does not block, so that one slow reader does not delay the batch.
+        # The socket is non-blocking so that a slow reader does not delay the whole batch.
         data = self._unsent + data
         try:
             sent = self.connection.send(data)
         except BlockingIOError:
             sent = 0
         except OSError:
-            self.broken = True
+            self.disconnected = True
             return
         self._unsent = data[sent:]
 
--- a/packages/loomyard-standins/src/loomyard_standins/benches/caller.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/caller.py
@@ -1,4 +1,4 @@
-"""A caller with one kept connection that counts events and reads no further."""
+"""HTTP caller on one persistent connection that counts events without parsing them."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-BLOCK = 65536
-TIMEOUT = 120.0
+READ_BYTES = 65536
+TIMEOUT_SECONDS = 120.0
 HEAD_END = b"\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 EVENT_END = b"\n\n"
@@ -23,27 +23,27 @@
 
 @frozen
 class Reply:
-    """Status of an answer and ``Retry-After`` in seconds; ``whole`` unless it was cut off."""
+    """An answer: ``complete`` is false if it was truncated, ``retry_after`` is in seconds."""
 
     status: int
-    whole: bool
+    complete: bool
     retry_after: float = 1.0
     body: bytes = b""
 
 
 class Caller:
-    """Send requests of one account to one router."""
+    """Send requests of one client account to one router."""
 
-    def __init__(self, find_port: Callable[[], int], key: str) -> None:
-        self._find_port = find_port
+    def __init__(self, get_port: Callable[[], int], key: str) -> None:
+        self._get_port = get_port
         self._key = key
         self._port = 0
         self._socket: socket.socket | None = None
 
     def call(self, path: str, body: bytes, hint: float | None, on_tokens: Callable) -> Reply:
-        """Send and read an answer; ``on_tokens`` gets the number of tokens as they come.
+        """Send a request and read its answer; call ``on_tokens`` with the tokens of each read.
 
-        Raises OSError where the router is gone.
+        Raises OSError if the router is unreachable or closes the connection.
         """
         cost = f"Loomyard-Cost-Hint: {hint:.3f}\r\n" if hint is not None else ""
         head = (
@@ -60,7 +60,7 @@
         except gevent.GreenletExit:
             self.close()
             raise
-        if not reply.whole:
+        if not reply.complete:
             self.close()
         return reply
 
@@ -71,21 +71,24 @@
             self._socket = None
 
     def _connect(self) -> socket.socket:
-        port = self._find_port()
+        port = self._get_port()
         if port != self._port:
             self.close()
             self._port = port
         if self._socket is None:
-            self._socket = socket.create_connection(("127.0.0.1", port), TIMEOUT)
+            self._socket = socket.create_connection(("127.0.0.1", port), TIMEOUT_SECONDS)
             self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return self._socket
 
 
 def read_reply(connection: socket.socket, on_tokens: Callable) -> Reply:
-    """Read one answer; ``on_tokens`` gets the number of tokens as they come."""
+    """Read one answer; call ``on_tokens`` with the number of tokens of each read.
+
+    Raises ConnectionResetError if the connection ends before the headers do.
+    """
     data = b""
     while HEAD_END not in data:
-        block = connection.recv(BLOCK)
+        block = connection.recv(READ_BYTES)
         if not block:
             raise ConnectionResetError("the router closed the connection")
         data += block
@@ -94,11 +97,11 @@
     lower = head.lower()
     if b"chunked" in lower:
         stream = b"event-stream" in lower
-        whole = _read_chunks(connection, rest, on_tokens if stream else None)
-        return Reply(status, whole)
+        complete = _read_chunks(connection, rest, on_tokens if stream else None)
+        return Reply(status, complete)
     length = int(_header(lower, b"content-length") or 0)
     while len(rest) < length:
-        block = connection.recv(BLOCK)
+        block = connection.recv(READ_BYTES)
         if not block:
             return Reply(status, False)
         rest += block
@@ -111,15 +114,15 @@
     rest = tail = b""
     while True:
         if on_tokens is not None and data:
-            # Whole events only: an event, or its mark, may be cut in two by the blocks.
-            whole, end, rest = (rest + data).rpartition(EVENT_END)
+            # Count complete events only, since a read may end within an event or its end mark.
+            events, end, rest = (rest + data).rpartition(EVENT_END)
             if end:
-                whole += end
-                on_tokens(whole.count(EVENT_END) - whole.count(USAGE) - whole.count(DONE))
+                events += end
+                on_tokens(events.count(EVENT_END) - events.count(USAGE) - events.count(DONE))
         tail = (tail + data)[-len(LAST_CHUNK) :]
         if tail == LAST_CHUNK:
             return True
-        data = connection.recv(BLOCK)
+        data = connection.recv(READ_BYTES)
         if not data:
             return False
 
--- a/packages/loomyard-standins/src/loomyard_standins/benches/configuration.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/configuration.py
@@ -1,6 +1,6 @@
-"""What a configuration costs: folding, adopting, snapshots, and the way into force.
+"""Benchmark of the configuration: loading, changes, snapshots and propagation to routers.
 
-Run as ``make bench-configuration``; the last line is JSON. Each size has a process of its own.
+Run as ``make bench-configuration``; each size runs in its own process. The last line is JSON.
 """
 
 from __future__ import annotations
@@ -46,14 +46,14 @@
 
 
 class Account:
-    """The account that changes, and the version it is based on."""
+    """The client account that is changed, with the version that its next change is based on."""
 
     def __init__(self) -> None:
         self.version = ABSENT
         self._number = 0
 
     def next_record(self) -> bytes:
-        """Return the next change of the account as a record."""
+        """Return the next change of the account as an encoded record."""
         self._number += 1
         item = make_account(0, weight=1.0 + self._number % 9)
         put = Put(object=item, based_on=self.version)
@@ -61,7 +61,7 @@
 
 
 def make_account(number: int, weight: float = 1.0) -> ClientAccount:
-    """Make an account of the usual size."""
+    """Make a client account with one key and two labels."""
     return ClientAccount(
         metadata=Metadata(
             name=f"account-{number:05}", labels={"tier": "standard", "site": f"s{number % 40}"}
@@ -72,7 +72,7 @@
 
 
 def make_records(size: int) -> list[bytes]:
-    """Return the records that create all accounts."""
+    """Return the encoded records that create ``size`` accounts."""
     records = []
     for start in range(0, size, ACCOUNTS_PER_CHANGE):
         numbers = range(start, min(start + ACCOUNTS_PER_CHANGE, size))
@@ -82,13 +82,13 @@
 
 
 def measure(size: int) -> dict[str, Any]:
-    """Measure one size in this process."""
+    """Measure a configuration of ``size`` accounts in this process."""
     records = [LogRecord(offset, data) for offset, data in enumerate(make_records(size))]
-    before, replica = resident_bytes(), ConfigReplica()
+    memory_before, replica = resident_bytes(), ConfigReplica()
     started = time.perf_counter()
     replica.apply(records)
     load = time.perf_counter() - started
-    memory = resident_bytes() - before
+    memory = resident_bytes() - memory_before
     assert len(replica.routing.accounts) == size
     result = {
         "objects": size,
@@ -112,20 +112,24 @@
         times.append((time.perf_counter() - started) * MILLISECONDS)
         account.version = number
     assert replica.state.version == offset + CHANGES_TIMED - 1
-    return _spread("change_ms", times)
+    return _percentiles("change_ms", times)
 
 
 def _time_snapshot(replica: ConfigReplica) -> dict[str, Any]:
-    (parts, pack_seconds), pack_pause = _watch(lambda: _timed(lambda: pack(replica.state)))
-    (state, unpack_seconds), unpack_pause = _watch(lambda: _timed(lambda: unpack(parts).unwrap()))
+    (parts, pack_seconds), pack_block = _measure_blocking(
+        lambda: _timed(lambda: pack(replica.state))
+    )
+    (state, unpack_seconds), unpack_block = _measure_blocking(
+        lambda: _timed(lambda: unpack(parts).unwrap())
+    )
     assert state == replica.state
     return {
         "snapshot_bytes": sum(len(part.data) for part in parts),
         "snapshot_parts": len(parts),
         "pack_ms": pack_seconds * MILLISECONDS,
-        "pack_longest_block_ms": pack_pause * MILLISECONDS,
+        "pack_longest_block_ms": pack_block * MILLISECONDS,
         "unpack_ms": unpack_seconds * MILLISECONDS,
-        "unpack_longest_block_ms": unpack_pause * MILLISECONDS,
+        "unpack_longest_block_ms": unpack_block * MILLISECONDS,
     }
 
 
@@ -148,7 +152,7 @@
     for follower in followers:
         follower.stop()
     server.stop()
-    return _spread("in_force_ms", times)
+    return _percentiles("in_force_ms", times)
 
 
 def _await_version(followers: list[ConfigFollower], version: int) -> None:
@@ -163,11 +167,11 @@
     return outcome, time.perf_counter() - started
 
 
-def _watch(work: Any) -> tuple[Any, float]:
-    """Return what work returns, and how long another task had to wait for its turn at most."""
+def _measure_blocking(work: Any) -> tuple[Any, float]:
+    """Return the result of work and the longest time, in seconds, that it blocked the loop."""
     longest = 0.0
 
-    def turn() -> None:
+    def watch_loop() -> None:
         nonlocal longest
         last = time.perf_counter()
         while True:
@@ -175,7 +179,7 @@
             now = time.perf_counter()
             longest, last = max(longest, now - last), now
 
-    other = gevent.spawn(turn)
+    other = gevent.spawn(watch_loop)
     gevent.sleep(0)
     outcome = work()
     gevent.sleep(0)
@@ -183,7 +187,7 @@
     return outcome, longest
 
 
-def _spread(name: str, times: list[float]) -> dict[str, float]:
+def _percentiles(name: str, times: list[float]) -> dict[str, float]:
     times.sort()
     return {
         f"{name}_p50": times[len(times) // 2],
@@ -193,7 +197,7 @@
 
 
 def main() -> int:
-    """Measure each size in a process of its own and print the figures."""
+    """Measure each size in its own process and print the results."""
     if len(sys.argv) > 1:
         print(json.dumps(measure(int(sys.argv[1]))))
         return 0
--- a/packages/loomyard-standins/src/loomyard_standins/benches/reading.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/counter_snapshot.py
@@ -1,4 +1,4 @@
-"""Counters of a run, read at one moment."""
+"""Snapshot of the counters of a run."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 
 @frozen(kw_only=True)
-class Reading:
-    """Monotonic time, processor seconds used by each process, and what the routers tell."""
+class CounterSnapshot:
+    """Monotonic time, CPU seconds used by each process and status of each router."""
 
     at: float
     driver_cpu: float
@@ -24,9 +24,9 @@
     statuses: tuple[RouterStatus, ...]
 
 
-def read_counters(fleet: BenchFleet) -> Reading:
-    """Read all counters now."""
-    return Reading(
+def take_snapshot(fleet: BenchFleet) -> CounterSnapshot:
+    """Read the counters of all processes of a fleet."""
+    return CounterSnapshot(
         at=time.monotonic(),
         driver_cpu=time.process_time(),
         targets_cpu=fleet.engine_cpu_seconds(),
--- a/packages/loomyard-standins/src/loomyard_standins/benches/places.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/data_centres.py
@@ -1,11 +1,11 @@
-"""Data centres of the benches, told by the second last byte of a loopback address."""
+"""Data centres of the benchmarks; the third byte of a loopback address is their number."""
 
 from __future__ import annotations
 
 from urllib.parse import urlsplit
 
 DATA_CENTRES = ("dc-1", "dc-2", "dc-3")
-ONE_WAY_SECONDS = 0.0015
+ONE_WAY_DELAY_SECONDS = 0.0015
 
 
 def data_centre_of(position: int) -> str:
@@ -19,6 +19,6 @@
 
 
 def data_centre_of_url(url: str) -> str:
-    """Return the data centre of a target by its address."""
+    """Return the data centre of a target by the host of its URL."""
     host = urlsplit(url).hostname or ""
     return DATA_CENTRES[int(host.split(".")[2]) - 1]
--- a/packages/loomyard-standins/src/loomyard_standins/benches/delayed_engine.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/delayed_engine.py
@@ -1,4 +1,4 @@
-"""Engine calls that cross data centres."""
+"""Simulated network delay of engine calls between data centres."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import gevent
 from result import Ok, Result
 
-from loomyard_standins.benches.places import ONE_WAY_SECONDS, data_centre_of_url
+from loomyard_standins.benches.data_centres import ONE_WAY_DELAY_SECONDS, data_centre_of_url
 
 if TYPE_CHECKING:
     from loomyard.errors import Fault
@@ -24,7 +24,7 @@
 
 
 class DelayedEngine:
-    """Delay the way out of each call, and the end of its answer on the way back."""
+    """Delay each call to another data centre, and the end of its answer."""
 
     def __init__(self, engine: Engine, data_centre: str) -> None:
         self._engine = engine
@@ -33,7 +33,7 @@
     def open(self, call: TargetCall) -> Result[TargetAnswer, Fault]:
         if self._is_near(call.url):
             return self._engine.open(call)
-        gevent.sleep(ONE_WAY_SECONDS)
+        gevent.sleep(ONE_WAY_DELAY_SECONDS)
         return self._engine.open(call).map(_DelayedAnswer)
 
     def resume(self, call: TargetCall, after: int) -> Result[TargetAnswer, Fault]:
@@ -56,7 +56,7 @@
 
 
 class _DelayedAnswer:
-    """An answer from afar; only its end is delayed, which keeps the events cheap."""
+    """Answer from another data centre; only its end is delayed, so that events cost no timer."""
 
     def __init__(self, answer: TargetAnswer) -> None:
         self._answer = answer
@@ -78,7 +78,7 @@
         match data:
             case Ok(block) if block and DONE not in block:
                 return data
-        gevent.sleep(ONE_WAY_SECONDS)
+        gevent.sleep(ONE_WAY_DELAY_SECONDS)
         return data
 
     def close(self) -> None:
--- a/packages/loomyard-standins/src/loomyard_standins/benches/http_request.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/http_request.py
@@ -1,17 +1,17 @@
-"""Requests as the stand-in targets of the benches read them from a socket."""
+"""Minimal HTTP/1.1 server side of the simulated targets."""
 
 from __future__ import annotations
 
 from attrs import frozen
 from gevent import socket
 
-BLOCK = 65536
+READ_BYTES = 65536
 HEAD_END = b"\r\n\r\n"
 
 
 @frozen
 class HttpRequest:
-    """Method, path and query, headers with lower-case names, and body."""
+    """A request; ``path`` includes the query, header names are lower case."""
 
     method: str
     path: str
@@ -20,20 +20,20 @@
 
 
 class RequestReader:
-    """Read requests from a kept connection."""
+    """Read requests from a persistent connection."""
 
     def __init__(self, connection: socket.socket) -> None:
         self._connection = connection
         self._buffer = b""
 
     def read(self) -> HttpRequest | None:
-        """Return the next request; none where the connection ended."""
+        """Return the next request, or none if the connection ended."""
         while HEAD_END not in self._buffer:
             if not self._fill():
                 return None
         head, _, self._buffer = self._buffer.partition(HEAD_END)
-        first, *lines = head.decode("latin-1").split("\r\n")
-        method, path, _ = first.split(" ", 2)
+        request_line, *lines = head.decode("latin-1").split("\r\n")
+        method, path, _ = request_line.split(" ", 2)
         pairs = (line.partition(":") for line in lines)
         headers = {name.lower(): value.strip() for name, _, value in pairs}
         length = int(headers.get("content-length", 0))
@@ -45,20 +45,20 @@
 
     def _fill(self) -> bool:
         try:
-            data = self._connection.recv(BLOCK)
+            data = self._connection.recv(READ_BYTES)
         except OSError:
             return False
         self._buffer += data
         return bool(data)
 
 
-def send_at_once(connection: socket.socket) -> None:
-    """Send small writes without waiting for the acknowledgement of the one before."""
+def disable_nagle(connection: socket.socket) -> None:
+    """Set TCP_NODELAY, so that small writes are sent at once."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def answer_json(connection: socket.socket, body: bytes, attempt: str = "") -> None:
-    """Send a whole answer."""
+def send_json(connection: socket.socket, body: bytes, attempt: str = "") -> None:
+    """Send a JSON answer with status 200."""
     head = (
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
         f"Content-Length: {len(body)}\r\nLoomyard-Attempt: {attempt}\r\n\r\n"
--- a/packages/loomyard-standins/src/loomyard_standins/benches/orders.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/orders.py
@@ -1,4 +1,4 @@
-"""Measure how long a service that no target has loaded waits for its orders, over HTTP."""
+"""Benchmark of load orders: time until a service that no engine has loaded answers."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
     from loomyard.external.engine import EngineOrder
     from loomyard_router.application import Application
 
-LIMIT_SECONDS = 45.0
-CALL_EVERY = 0.25
+TIMEOUT_SECONDS = 45.0
+CALL_INTERVAL_SECONDS = 0.25
 HTTP_OK = 200
 SERVICES = ("tagger", "drafts")
 
 
 def main() -> int:
-    """Order one service, stop the keeper, order another; print one JSON object.
+    """Call one unloaded service, stop the order controller, call another; print JSON.
 
-    The keeper gets no calls, so all that it knows of them comes from the others.
+    The order controller gets no calls itself, so it learns of the demand from the other routers.
     """
     fleet = start_fleet(routers=3, engines=2, policy="fleet")
     engines = [EngineServer(model="assistant", checks_fencing=checks) for checks in (True, False)]
@@ -42,15 +42,15 @@
     fleet.engines.extend(engines)
     fleet.publish(_objects(engines))
     try:
-        keeper = _find_keeper(fleet)
+        order_controller = _remove_order_controller(fleet)
         first = _await_service(fleet.routers, SERVICES[0])
-        keeper.stop()
+        order_controller.stop()
         second = _await_service(fleet.routers, SERVICES[1])
     finally:
         orders = [[_describe(order) for order in engine.orders.taken] for engine in engines]
         fleet.stop()
-    figures = {"first": first, "after_keeper_stopped": second, "orders": orders}
-    print(json.dumps({"bench": "orders", **figures}))
+    metrics = {"first": first, "after_keeper_stopped": second, "orders": orders}
+    print(json.dumps({"bench": "orders", **metrics}))
     return 0
 
 
@@ -72,31 +72,31 @@
     return objects
 
 
-def _find_keeper(fleet: StandinFleet) -> Application:
+def _remove_order_controller(fleet: StandinFleet) -> Application:
     name = find_allocator(fleet.routers[0].components.members)
-    keeper = next(r for r in fleet.routers if r.components.members.own.name == name)
-    fleet.routers.remove(keeper)
-    return keeper
+    order_controller = next(r for r in fleet.routers if r.components.members.own.name == name)
+    fleet.routers.remove(order_controller)
+    return order_controller
 
 
 def _await_service(routers: list[Application], service: str) -> dict[str, object]:
-    """Call a service at each router in turn until one answers."""
+    """Call a service at the routers in turn until one answers with 200."""
     started = time.monotonic()
     statuses: Counter[str] = Counter()
     number = 0
-    while time.monotonic() - started < LIMIT_SECONDS:
+    while time.monotonic() - started < TIMEOUT_SECONDS:
         number += 1
         router = routers[number % len(routers)]
         status = _call(router.port, service)
         statuses[str(status)] += 1
         if status == HTTP_OK:
             break
-        gevent.sleep(CALL_EVERY)
+        gevent.sleep(CALL_INTERVAL_SECONDS)
     return {"seconds": round(time.monotonic() - started, 1), "statuses": dict(statuses)}
 
 
 def _call(port: int, service: str) -> int:
-    client = HTTPClient("127.0.0.1", port, network_timeout=LIMIT_SECONDS)
+    client = HTTPClient("127.0.0.1", port, network_timeout=TIMEOUT_SECONDS)
     headers = {"Authorization": f"Bearer {sample_key('kiosk')}"}
     body = json.dumps({"model": service, "prompt": "hi", "max_tokens": 2})
     try:
--- a/packages/loomyard-standins/src/loomyard_standins/benches/plain_target.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/plain_target.py
@@ -1,4 +1,4 @@
-"""A plain server for load: it works as many seconds as the request says."""
+"""Simulated plain service whose work takes the seconds that the request states."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from gevent.server import StreamServer
 
 from loomyard_standins.benches.busy_meter import BusyMeter
-from loomyard_standins.benches.http_request import RequestReader, answer_json, send_at_once
+from loomyard_standins.benches.http_request import RequestReader, disable_nagle, send_json
 
 if TYPE_CHECKING:
     from gevent import socket
@@ -19,7 +19,7 @@
 
 
 class PlainTarget:
-    """A plain server with a bounded number of workers."""
+    """HTTP server with a bounded number of workers."""
 
     def __init__(self, *, host: str, slots: int) -> None:
         self.meter = BusyMeter()
@@ -31,19 +31,19 @@
         return f"http://{self._server.server_host}:{self._server.server_port}"
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._server.start()
 
     def step(self) -> None:
-        """Do nothing: only engines step."""
+        """Do nothing; only engines work in steps."""
 
     def _serve(self, connection: socket.socket, _: object) -> None:
-        send_at_once(connection)
+        disable_nagle(connection)
         reader = RequestReader(connection)
         while (request := reader.read()) is not None:
             if request.method == "POST" and request.body:
                 self._work(min(MAX_SECONDS, float(json.loads(request.body)["seconds"])))
-            answer_json(connection, b"{}", request.headers.get("loomyard-attempt", ""))
+            send_json(connection, b"{}", request.headers.get("loomyard-attempt", ""))
 
     def _work(self, seconds: float) -> None:
         with self._workers:
--- a/packages/loomyard-standins/src/loomyard_standins/benches/plots.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/plots.py
@@ -22,8 +22,8 @@
 def plot_service(
     workload: Workload, timeline: Timeline, traces: dict[str, Path], file: Path
 ) -> None:
-    """Write one picture; ``traces`` gives the file of each policy's trace."""
-    # Here, as only this needs the library.
+    """Write one image to ``file``; ``traces`` maps each policy to its trace file."""
+    # Imported here, since only plots need the library.
     import matplotlib
 
     matplotlib.use("Agg")
@@ -39,11 +39,11 @@
         for number, plan in enumerate(workload.accounts):
             if not service[number].any():
                 continue
-            level = np.cumsum(service[number])[::step] / plan.weight / 1000
-            at = np.arange(level.size) * step * BUCKET_SECONDS
+            normalized_service = np.cumsum(service[number])[::step] / plan.weight / 1000
+            seconds = np.arange(normalized_service.size) * step * BUCKET_SECONDS
             axis.plot(
-                at,
-                level,
+                seconds,
+                normalized_service,
                 linewidth=0.9,
                 label=plan.name,
                 color=f"C{number % 10}",
