--- a/tests/test_loomyard/test_bounded_log.py
+++ b/tests/test_loomyard/test_bounded_log.py
@@ -17,6 +17,7 @@
 from loomyard_standins.fake_clock import FakeClock
 
 PIPE_BYTES = 4096
+MAX_READS = 2000
 
 
 class TestBoundedLog(unittest.TestCase):
@@ -29,6 +30,8 @@
         self.clock = FakeClock()
         self.handler = BoundedLogHandler(self.write_end, self.clock, max_bytes_per_second=1000.0)
         self.handler.setFormatter(JsonFormatter())
+        # The writer task must not wait for the descriptor when it is closed.
+        self.addCleanup(lambda: gevent.kill(self.handler._task) if self.handler._task else None)
 
     def log(self, event: Event, **fields: object) -> None:
         record = logging.LogRecord("x", event.level, "", 0, event.meaning, None, None)
@@ -37,13 +40,17 @@
         self.handler.handle(record)
 
     def lines(self) -> list[dict]:
+        """Return the lines written until the writer task has none left."""
         data = b""
-        while True:
+        for _ in range(MAX_READS):
             gevent.sleep(0.005)
             try:
                 data += os.read(self.read_end, 65536)
             except BlockingIOError:
-                return [json.loads(line) for line in data.splitlines()]
+                # An empty pipe alone can mean that the writer task has not run yet.
+                if not self.handler._has_lines.is_set():
+                    return [json.loads(line) for line in data.splitlines()]
+        raise AssertionError("the writer task did not write all lines")
 
     def test_a_line_has_wall_time_and_monotonic_time(self) -> None:
         self.handler.start()
