--- a/packages/loomyard-standins/src/loomyard_standins/faults/answer_fault.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/answer_fault.py
@@ -1,4 +1,4 @@
-"""How a fake target fails one call."""
+"""Faults that a fake target applies to one call."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class AnswerFault(Enum):
-    """The fault of one call, from the connection to the end of the answer."""
+    """A fault of one call, in order from the connection to the end of the answer."""
 
     REFUSED = "connection refused; nothing was sent"
     GONE_BEFORE = "the target ran the call and died before its answer"
--- a/packages/loomyard-standins/src/loomyard_standins/faults/answer_text.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/answer_text.py
@@ -1,4 +1,4 @@
-"""The text of an answer as a caller reads it."""
+"""Decoding of the answer bodies that callers received."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 from loomyard_standins.faults.sightings import Ending
 
 if TYPE_CHECKING:
-    from loomyard_standins.faults.sightings import CallerSaw
+    from loomyard_standins.faults.sightings import CallRecord
 
 DONE = b"data: [DONE]"
 DATA = b"data: "
 
 
-def is_whole(saw: CallerSaw) -> bool:
-    """Tell whether the caller must take its answer for a whole one."""
-    if saw.ending is not Ending.WHOLE:
+def is_whole(record: CallRecord) -> bool:
+    """Return whether a caller regards its answer as complete (a stream needs ``[DONE]``)."""
+    if record.ending is not Ending.WHOLE:
         return False
-    return DONE in saw.body if saw.stream else True
+    return DONE in record.body if record.stream else True
 
 
-def answer_text(saw: CallerSaw) -> str | None:
-    """Return the text; ``None`` where the caller can't read what it takes for an answer."""
-    if saw.stream:
-        return _stream_text(saw.body)
-    if saw.ending is not Ending.WHOLE:
+def answer_text(record: CallRecord) -> str | None:
+    """Return the generated text or the body received; ``None`` if it can't be decoded."""
+    if record.stream:
+        return _stream_text(record.body)
+    if record.ending is not Ending.WHOLE:
         return ""
     try:
-        document = json.loads(saw.body)
+        document = json.loads(record.body)
         if "choices" in document:
             return document["choices"][0]["text"]
     except (ValueError, LookupError, TypeError):
         return None
-    return saw.body.decode()
+    return record.body.decode()
 
 
 def _stream_text(body: bytes) -> str | None:
--- a/packages/loomyard-standins/src/loomyard_standins/faults/checkers.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/checkers.py
@@ -1,4 +1,4 @@
-"""The invariants, checked on what callers and targets saw."""
+"""Checkers of the fleet's invariants over the recorded calls, runs and orders."""
 
 from __future__ import annotations
 
@@ -15,160 +15,164 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-    from loomyard_standins.faults.sightings import CallerSaw, Run, Sightings
+    from loomyard_standins.faults.sightings import CallRecord, Observations, Run
 
-LEAVING_SECONDS = 2.0
-IN_FORCE_SECONDS = 3.0
+LEAVING_SECONDS = 2.0  # time for all routers to learn that a target is leaving
+IN_FORCE_SECONDS = 3.0  # time for all routers to apply an accepted configuration
 WAIT_BOUND_SECONDS = 30.0
-GAP_BOUND_TOKENS = 400.0
-LEASE_SECONDS = 3.0
-FLOOR_REQUESTS = 1
+GAP_BOUND_TOKENS = 400.0  # between two backlogged accounts, divided by weight
+LEASE_SECONDS = 3.0  # lifetime of a slot lease
+FALLBACK_REQUESTS = 1  # per service and router without a valid lease
 HTTP_OK = 200
 
 
 class Invariant(Enum):
-    """What must always hold."""
+    """Properties that hold under every fault; the values are printed in the fault matrix page."""
 
-    WHOLE_ANSWER = "a caller gets its own whole answer, or sees that it did not"
-    NOT_EXECUTED = "what is refused as not executed was not executed"
+    WHOLE_ANSWER = "a caller gets its own complete answer, or can detect that it did not"
+    NOT_EXECUTED = "a request refused as not executed was not executed"
     AT_MOST_ONCE = "a non-idempotent request runs at most once"
     LEAVING = "a leaving target gets no new work after 2 s"
     PLANNED_STOP = "a planned stop cuts off no request in flight"
-    NEVER_REVERTS = "the configuration that a router serves never goes back"
+    NEVER_REVERTS = "the configuration that a router serves never reverts to an older one"
     IN_FORCE = "an accepted configuration is in force everywhere within 3 s"
     NO_STARVATION = "every waiting client account gets service within a bound"
     BOUNDED_GAP = "the gap between two backlogged client accounts stays bounded"
-    ENDS = "every request ends for its caller"
-    RECOVERS = "after the faults are mended every live router serves"
+    ENDS = "every request gets an outcome"
+    RECOVERS = "every live router serves requests once the faults are healed"
     AGREED = "all routers end with the same configuration"
     STOP_ENDS = "a planned stop ends"
-    LAPSED = "a router that slept past its lease starts no more than the floor when it wakes"
+    LAPSED = (
+        "a router paused past its lease starts no more than the fallback admission when it resumes"
+    )
     FENCED = "no order with an old fencing number takes effect"
 
 
 @frozen
 class Violation:
-    """A sighting against an invariant."""
+    """An observation that violates an invariant, with a sentence of detail."""
 
     invariant: Invariant
     detail: str
 
 
-def check(sightings: Sightings) -> list[Violation]:
+def check(observations: Observations) -> list[Violation]:
     """Return every violation of every invariant."""
     return [
         Violation(invariant, detail)
         for invariant, checker in CHECKERS.items()
-        for detail in checker(sightings)
+        for detail in checker(observations)
     ]
 
 
-def check_whole_answers(sightings: Sightings) -> Iterator[str]:
-    """Check that whole answers are the callers' own and that parts are parts of them."""
-    for saw in sightings.callers:
-        if saw.status != HTTP_OK:
+def check_whole_answers(observations: Observations) -> Iterator[str]:
+    """Check that a complete answer equals the expected one and a partial one is its prefix."""
+    for record in observations.calls:
+        if record.status != HTTP_OK:
             continue
-        text = answer_text(saw)
+        text = answer_text(record)
         if text is None:
-            yield f"{saw.marker}: an unreadable answer: {saw.body[:80]!r}"
-        elif is_whole(saw) and text != saw.expected:
-            yield f"{saw.marker}: got {text!r}, not {saw.expected!r}"
-        elif not saw.expected.startswith(text):
-            yield f"{saw.marker}: got {text!r}, no part of {saw.expected!r}"
-
-
-def check_not_executed(sightings: Sightings) -> Iterator[str]:
-    """Check that nothing ran of a request of which every call was refused as not executed."""
-    runs = _runs_by_marker(sightings)
-    calls: defaultdict[str, list[CallerSaw]] = defaultdict(list)
-    for saw in sightings.callers:
-        calls[saw.marker].append(saw)
-    for marker, saws in calls.items():
-        if all(saw.executed == "no" for saw in saws) and runs[marker]:
+            yield f"{record.marker}: an unreadable answer: {record.body[:80]!r}"
+        elif is_whole(record) and text != record.expected:
+            yield f"{record.marker}: got {text!r}, not {record.expected!r}"
+        elif not record.expected.startswith(text):
+            yield f"{record.marker}: got {text!r}, not a prefix of {record.expected!r}"
+
+
+def check_not_executed(observations: Observations) -> Iterator[str]:
+    """Check that a request ran nowhere if all of its calls were refused as not executed."""
+    runs = _runs_by_marker(observations)
+    calls: defaultdict[str, list[CallRecord]] = defaultdict(list)
+    for record in observations.calls:
+        calls[record.marker].append(record)
+    for marker, records in calls.items():
+        if all(record.executed == "no" for record in records) and runs[marker]:
             yield f"{marker}: refused as not executed, but ran at {runs[marker][0].target}"
 
 
-def check_at_most_once(sightings: Sightings) -> Iterator[str]:
+def check_at_most_once(observations: Observations) -> Iterator[str]:
     """Check that non-idempotent requests ran at most once."""
-    runs = _runs_by_marker(sightings)
-    for marker in {saw.marker for saw in sightings.callers if not saw.idempotent}:
+    runs = _runs_by_marker(observations)
+    for marker in {record.marker for record in observations.calls if not record.idempotent}:
         if len(runs[marker]) > 1:
             yield f"{marker}: ran as {[run.attempt_id for run in runs[marker]]}"
 
 
-def check_leaving(sightings: Sightings) -> Iterator[str]:
-    """Check that leaving targets get no new work from routers that can hear of it.
+def check_leaving(observations: Observations) -> Iterator[str]:
+    """Check that leaving targets get no new work from routers that can know of it.
 
-    One that was paused or cut off can't until a moment after that ended.
+    Routers that are paused or partitioned, or were until ``LEAVING_SECONDS`` ago, are exempt.
     """
-    routers = {saw.marker: saw.router for saw in sightings.callers}
-    for run in sightings.runs:
-        known = sightings.leaving.get(run.target)
+    routers = {record.marker: record.router for record in observations.calls}
+    for run in observations.runs:
+        known = observations.leaving.get(run.target)
         if known is None or run.at <= known + LEAVING_SECONDS:
             continue
-        if not _is_deaf(sightings, routers.get(run.marker, ""), run.at):
+        if not _was_isolated(observations, routers.get(run.marker, ""), run.at):
             yield f"{run.marker}: sent to {run.target} {run.at - known:.2f} s after it was leaving"
 
 
-def check_planned_stop(sightings: Sightings) -> Iterator[str]:
-    """Check that a router that stopped as planned cut nothing off that its target answered."""
-    broken = {run.marker for run in sightings.runs if run.broken}
-    for saw in sightings.callers:
+def check_planned_stop(observations: Observations) -> Iterator[str]:
+    """Check that a planned stop of a router cut off no answer that its target completed."""
+    broken = {run.marker for run in observations.runs if run.broken}
+    for record in observations.calls:
         if (
-            saw.marker in broken
-            or saw.router_died
-            or saw.started > sightings.stopped.get(saw.router, -1.0)
+            record.marker in broken
+            or record.router_died
+            or record.started > observations.stopped.get(record.router, -1.0)
         ):
             continue
-        if saw.ending is Ending.CUT:
-            yield f"{saw.marker}: cut off by the planned stop of {saw.router}"
+        if record.ending is Ending.CUT:
+            yield f"{record.marker}: cut off by the planned stop of {record.router}"
 
 
-def check_stop_ends(sightings: Sightings) -> Iterator[str]:
-    """Check that routers that were to stop have gone."""
-    for router in sightings.stopped.keys() - sightings.exited:
-        yield f"{router}: still there"
+def check_stop_ends(observations: Observations) -> Iterator[str]:
+    """Check that every router that began a planned stop exited."""
+    for router in observations.stopped.keys() - observations.exited:
+        yield f"{router}: planned stop did not end"
 
 
-def check_never_reverts(sightings: Sightings) -> Iterator[str]:
-    """Check that no router lets callers see an older configuration than before."""
+def check_never_reverts(observations: Observations) -> Iterator[str]:
+    """Check that no router lists an older generation than it listed before."""
     newest: dict[str, int] = {}
-    for seen in sightings.seen:
-        if seen.generation < newest.get(seen.router, -1):
-            yield f"{seen.router}: generation {seen.generation} after {newest[seen.router]}"
-        newest[seen.router] = max(seen.generation, newest.get(seen.router, -1))
-
-
-def check_in_force(sightings: Sightings) -> Iterator[str]:
-    """Check that reachable routers serve an accepted configuration in time."""
-    for generation, (accepted, reachable) in sightings.generations.items():
-        for seen in sightings.seen:
-            late = seen.at > accepted + IN_FORCE_SECONDS
-            if seen.router in reachable and late and seen.generation < generation:
-                yield f"{seen.router}: served {seen.generation}, not {generation}, for too long"
-
-
-def check_no_starvation(sightings: Sightings) -> Iterator[str]:
-    """Check that every request starts, or is refused, within the bound."""
-    started = {run.marker: run.at for run in reversed(sightings.runs)}
-    now = max((run.at for run in sightings.runs), default=0.0)
-    for saw in sightings.callers:
-        ended = now if saw.ended is None else saw.ended
-        waited = started.get(saw.marker, ended) - saw.started
+    for listing in observations.model_listings:
+        if listing.generation < newest.get(listing.router, -1):
+            yield f"{listing.router}: generation {listing.generation} after {newest[listing.router]}"
+        newest[listing.router] = max(listing.generation, newest.get(listing.router, -1))
+
+
+def check_in_force(observations: Observations) -> Iterator[str]:
+    """Check that reachable routers serve an accepted generation within ``IN_FORCE_SECONDS``."""
+    for generation, (accepted, reachable) in observations.generations.items():
+        for listing in observations.model_listings:
+            late = listing.at > accepted + IN_FORCE_SECONDS
+            if listing.router in reachable and late and listing.generation < generation:
+                yield f"{listing.router}: served {listing.generation}, not {generation}, for too long"
+
+
+def check_no_starvation(observations: Observations) -> Iterator[str]:
+    """Check that every request starts, or ends, within ``WAIT_BOUND_SECONDS``."""
+    started = {run.marker: run.at for run in reversed(observations.runs)}
+    now = max((run.at for run in observations.runs), default=0.0)
+    for record in observations.calls:
+        ended = now if record.ended is None else record.ended
+        waited = started.get(record.marker, ended) - record.started
         if waited > WAIT_BOUND_SECONDS:
-            yield f"{saw.marker}: waited {waited:.1f} s"
+            yield f"{record.marker}: waited {waited:.1f} s"
 
 
-def check_bounded_gap(sightings: Sightings) -> Iterator[str]:
-    """Check service over weight between accounts while both are backlogged."""
-    for left, right in combinations(sorted(sightings.weights), 2):
+def check_bounded_gap(observations: Observations) -> Iterator[str]:
+    """Check that the normalized service of two accounts stays close while both are backlogged."""
+    for left, right in combinations(sorted(observations.weights), 2):
         low = high = difference = 0.0
-        for run in sightings.runs:
-            if not (_backlogged(sightings, left, run.at) and _backlogged(sightings, right, run.at)):
+        for run in observations.runs:
+            if not (
+                _backlogged(observations, left, run.at) and _backlogged(observations, right, run.at)
+            ):
                 low = high = difference = 0.0
                 continue
             account = account_of(run.marker)
-            service = run.tokens / sightings.weights.get(account, 1.0)
+            service = run.tokens / observations.weights.get(account, 1.0)
             difference += service * ((account == left) - (account == right))
             low, high = min(low, difference), max(high, difference)
             if high - low > GAP_BOUND_TOKENS:
@@ -176,26 +180,26 @@
                 break
 
 
-def check_lapsed(sightings: Sightings) -> Iterator[str]:
-    """Check that a holder that wakes after its lease sends one request a service at most."""
-    routers = {saw.marker: saw.router for saw in sightings.callers}
-    for woken in sightings.woken:
-        if woken.slept <= LEASE_SECONDS:
+def check_lapsed(observations: Observations) -> Iterator[str]:
+    """Check that a router resumed after its lease lapsed starts one request a service at most."""
+    routers = {record.marker: record.router for record in observations.calls}
+    for pause in observations.ended_pauses:
+        if pause.paused_seconds <= LEASE_SECONDS:
             continue
         started = Counter(
             run.target.partition("-")[0]
-            for run in sightings.runs
-            if run.at == woken.at and routers.get(run.marker) == woken.router
+            for run in observations.runs
+            if run.at == pause.at and routers.get(run.marker) == pause.router
         )
         for service, count in started.items():
-            if count > FLOOR_REQUESTS:
-                yield f"{woken.router}: started {count} at {service} after {woken.slept:.1f} s"
+            if count > FALLBACK_REQUESTS:
+                yield f"{pause.router}: started {count} at {service} after {pause.paused_seconds:.1f} s"
 
 
-def check_fenced(sightings: Sightings) -> Iterator[str]:
-    """Check that no order takes effect after one with a higher fencing number."""
+def check_fenced(observations: Observations) -> Iterator[str]:
+    """Check that no order takes effect at a target after one with a higher fencing number."""
     highest: dict[str, int] = {}
-    for order in sightings.orders:
+    for order in observations.orders:
         if not order.effective:
             continue
         if order.fencing < highest.get(order.target, -1):
@@ -203,29 +207,29 @@
         highest[order.target] = max(order.fencing, highest.get(order.target, -1))
 
 
-def check_ends(sightings: Sightings) -> Iterator[str]:
-    """Check that no caller is left without an outcome."""
-    for saw in sightings.callers:
-        if saw.ended is None:
-            yield f"{saw.marker}: still open at {saw.router}"
+def check_ends(observations: Observations) -> Iterator[str]:
+    """Check that every call ended."""
+    for record in observations.calls:
+        if record.ended is None:
+            yield f"{record.marker}: still open at {record.router}"
 
 
-def check_recovers(sightings: Sightings) -> Iterator[str]:
-    """Check that calls after the mending get whole answers."""
-    for saw in sightings.callers:
-        if saw.probe and not (saw.status == HTTP_OK and is_whole(saw)):
-            yield f"{saw.marker}: {saw.ending.value}, status {saw.status}, code {saw.code}"
+def check_recovers(observations: Observations) -> Iterator[str]:
+    """Check that probes, sent after all faults are healed, get complete answers."""
+    for record in observations.calls:
+        if record.probe and not (record.status == HTTP_OK and is_whole(record)):
+            yield f"{record.marker}: {record.ending.value}, status {record.status}, code {record.code}"
 
 
-def check_agreed(sightings: Sightings) -> Iterator[str]:
+def check_agreed(observations: Observations) -> Iterator[str]:
     """Check that the routers list the same models at the end."""
-    final = [seen for seen in sightings.seen if seen.final]
-    for seen in final[1:]:
-        if different := seen.models ^ final[0].models:
-            yield f"{seen.router} and {final[0].router} differ in {sorted(different)}"
+    final = [listing for listing in observations.model_listings if listing.final]
+    for listing in final[1:]:
+        if different := listing.models ^ final[0].models:
+            yield f"{listing.router} and {final[0].router} differ in {sorted(different)}"
 
 
-CHECKERS: dict[Invariant, Callable[[Sightings], Iterator[str]]] = {
+CHECKERS: dict[Invariant, Callable[[Observations], Iterator[str]]] = {
     Invariant.WHOLE_ANSWER: check_whole_answers,
     Invariant.NOT_EXECUTED: check_not_executed,
     Invariant.AT_MOST_ONCE: check_at_most_once,
@@ -245,35 +249,35 @@
 
 
 def account_of(marker: str) -> str:
-    """Return the account whose name starts a marker."""
+    """Return the account of a marker (``account/request``)."""
     return marker.partition("/")[0]
 
 
-def _runs_by_marker(sightings: Sightings) -> defaultdict[str, list[Run]]:
+def _runs_by_marker(observations: Observations) -> defaultdict[str, list[Run]]:
     runs: defaultdict[str, list[Run]] = defaultdict(list)
-    for run in sightings.runs:
+    for run in observations.runs:
         if not run.refused:
             runs[run.marker].append(run)
     return runs
 
 
-def _is_deaf(sightings: Sightings, router: str, at: float) -> bool:
-    for woken in sightings.woken:
-        if woken.router == router and woken.at <= at <= woken.at + LEAVING_SECONDS:
+def _was_isolated(observations: Observations, router: str, at: float) -> bool:
+    for pause in observations.ended_pauses:
+        if pause.router == router and pause.at <= at <= pause.at + LEAVING_SECONDS:
             return True
     return any(
-        cut.router == router and cut.since <= at <= cut.until + LEAVING_SECONDS
-        for cut in sightings.cut_off
+        partition.router == router and partition.since <= at <= partition.until + LEAVING_SECONDS
+        for partition in observations.partitions
     )
 
 
-def _backlogged(sightings: Sightings, account: str, at: float) -> bool:
-    # A request waits from its start until its first run or its refusal.
-    started = {run.marker: run.at for run in reversed(sightings.runs)}
-    for saw in sightings.callers:
-        if saw.account != account or saw.started >= at:
+def _backlogged(observations: Observations, account: str, at: float) -> bool:
+    # A request waits from the call until its first run, or until its end if it never ran.
+    started = {run.marker: run.at for run in reversed(observations.runs)}
+    for record in observations.calls:
+        if record.account != account or record.started >= at:
             continue
-        until = started.get(saw.marker, saw.ended if saw.ended is not None else at)
+        until = started.get(record.marker, record.ended if record.ended is not None else at)
         if until >= at:
             return True
     return False
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_call.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_call.py
@@ -10,7 +10,7 @@
 
 from loomyard_standins.faults.fake_target import MODEL
 from loomyard_standins.faults.generated import expected_text, plain_body
-from loomyard_standins.faults.sightings import CallerSaw, Ending
+from loomyard_standins.faults.sightings import CallRecord, Ending
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -40,10 +40,10 @@
     tokens: int = 6,
     stream: bool = True,
     model: str = MODEL,
-) -> tuple[CallerSaw, dict[str, Any]]:
+) -> tuple[CallRecord, dict[str, Any]]:
     """Make a call of the model service and its WSGI environ."""
     body = {"model": model, "prompt": marker, "max_tokens": tokens, "stream": stream}
-    saw = CallerSaw(
+    record = CallRecord(
         marker=marker,
         account=marker.partition("/")[0],
         router=router,
@@ -51,14 +51,14 @@
         started=now,
         stream=stream,
     )
-    return saw, make_environ(saw.account, MODEL_PATH, json.dumps(body).encode())
+    return record, make_environ(record.account, MODEL_PATH, json.dumps(body).encode())
 
 
 def make_plain_call(
     marker: str, router: str, now: float, *, idempotent: bool = False, key: str | None = None
-) -> tuple[CallerSaw, dict[str, Any]]:
+) -> tuple[CallRecord, dict[str, Any]]:
     """Make a call of the plain service and its WSGI environ."""
-    saw = CallerSaw(
+    record = CallRecord(
         marker=marker,
         account=marker.partition("/")[0],
         router=router,
@@ -68,10 +68,10 @@
         key=key,
     )
     path = LOOKUPS_PATH if idempotent else RECEIPTS_PATH
-    environ = make_environ(saw.account, path, marker.encode())
+    environ = make_environ(record.account, path, marker.encode())
     if key is not None:
         environ["HTTP_IDEMPOTENCY_KEY"] = key
-    return saw, environ
+    return record, environ
 
 
 def make_environ(account: str, path: str, body: bytes, method: str = "POST") -> dict[str, Any]:
@@ -94,34 +94,36 @@
     }
 
 
-def perform(app: Callable[..., Any], environ: dict[str, Any], saw: CallerSaw, clock: Clock) -> None:
+def perform(
+    app: Callable[..., Any], environ: dict[str, Any], record: CallRecord, clock: Clock
+) -> None:
     """Call, read the answer to its end and note how it ended."""
 
     def start_response(status: str, headers: list[tuple[str, str]], *_: Any) -> Any:
-        saw.status = int(status.split()[0])
-        saw.headers = {name.lower(): value for name, value in headers}
+        record.status = int(status.split()[0])
+        record.headers = {name.lower(): value for name, value in headers}
         return None
 
     body: Any = None
     try:
         body = app(environ, start_response)
         for data in body:
-            saw.body += data
-        saw.ending = Ending.WHOLE
+            record.body += data
+        record.ending = Ending.WHOLE
     except (Exception, GreenletExit):
         # The WSGI server closes the connection without the end of the body.
-        saw.ending = Ending.CUT
+        record.ending = Ending.CUT
     finally:
-        saw.ended = clock.now()
-        _read_problem(saw)
+        record.ended = clock.now()
+        _read_problem(record)
         if hasattr(body, "close"):
             body.close()
 
 
-def _read_problem(saw: CallerSaw) -> None:
+def _read_problem(record: CallRecord) -> None:
     try:
-        problem = json.loads(saw.body)
+        problem = json.loads(record.body)
         details = problem["error"]["loomyard"] if "error" in problem else problem
-        saw.executed, saw.code = details[EXECUTED], details["code"]
+        record.executed, record.code = details[EXECUTED], details["code"]
     except (ValueError, LookupError, TypeError):
         return
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_callers.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_callers.py
@@ -17,14 +17,14 @@
     perform,
 )
 from loomyard_standins.faults.fake_publisher import GENERATION_PREFIX
-from loomyard_standins.faults.sightings import CallerSaw, Ending, ModelsSeen
+from loomyard_standins.faults.sightings import CallRecord, Ending, ModelListing
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
     from loomyard.clock import Clock
     from loomyard_standins.faults.fake_router import FakeRouter
-    from loomyard_standins.faults.sightings import Sightings
+    from loomyard_standins.faults.sightings import Observations
 
     App = Callable[..., Any]
 
@@ -38,22 +38,22 @@
         self,
         clock: Clock,
         routers: Mapping[str, FakeRouter],
-        sightings: Sightings,
+        observations: Observations,
         *,
         wrap_app: Callable[[App], App],
     ) -> None:
         self._clock = clock
         self._routers = routers
-        self._sightings = sightings
+        self._observations = observations
         self._wrap_app = wrap_app
 
     @property
     def calls_ended(self) -> bool:
-        return all(saw.ended is not None for saw in self._sightings.callers)
+        return all(record.ended is not None for record in self._observations.calls)
 
     @property
     def probes_ended(self) -> bool:
-        return all(saw.ended is not None for saw in self._sightings.callers if saw.probe)
+        return all(record.ended is not None for record in self._observations.calls if record.probe)
 
     def call_model(
         self,
@@ -63,28 +63,28 @@
         tokens: int = 6,
         stream: bool = True,
         model: str = MODEL,
-    ) -> CallerSaw:
+    ) -> CallRecord:
         """Start a call of the model service."""
-        saw, environ = make_model_call(
+        record, environ = make_model_call(
             marker, router, self._clock.now(), tokens=tokens, stream=stream, model=model
         )
-        return self._call(saw, environ)
+        return self._call(record, environ)
 
     def call_plain(
         self, marker: str, router: str, *, idempotent: bool = False, key: str | None = None
-    ) -> CallerSaw:
+    ) -> CallRecord:
         """Start a call of the plain service."""
-        saw, environ = make_plain_call(
+        record, environ = make_plain_call(
             marker, router, self._clock.now(), idempotent=idempotent, key=key
         )
-        return self._call(saw, environ)
+        return self._call(record, environ)
 
     def probe(self) -> None:
         """Call every live router, which must serve."""
         for name, router in self._routers.items():
             if router.points.dead:
                 continue
-            marker = f"{WATCHER}/probe-{len(self._sightings.callers)}"
+            marker = f"{WATCHER}/probe-{len(self._observations.calls)}"
             self.call_model(marker, name).probe = True
             self.call_plain(f"{marker}-plain", name, idempotent=True).probe = True
 
@@ -98,32 +98,32 @@
         """Let a caller list the models of a router."""
         environ = make_environ(WATCHER, MODELS_PATH, b"", method="GET")
         now = self._clock.now()
-        saw = CallerSaw(marker="", account=WATCHER, router=name, expected="", started=now)
-        perform(self._routers[name].server.call, environ, saw, self._clock)
-        if saw.ending is not Ending.WHOLE or saw.status != HTTP_OK:
+        record = CallRecord(marker="", account=WATCHER, router=name, expected="", started=now)
+        perform(self._routers[name].server.call, environ, record, self._clock)
+        if record.ending is not Ending.WHOLE or record.status != HTTP_OK:
             return
-        models = frozenset(model["id"] for model in json.loads(saw.body)["data"])
+        models = frozenset(model["id"] for model in json.loads(record.body)["data"])
         numbers = [
             int(model.removeprefix(GENERATION_PREFIX))
             for model in models
             if model.startswith(GENERATION_PREFIX)
         ]
         generation = max(numbers, default=0)
-        self._sightings.seen.append(
-            ModelsSeen(router=name, at=now, generation=generation, models=models, final=final)
+        self._observations.model_listings.append(
+            ModelListing(router=name, at=now, generation=generation, models=models, final=final)
         )
 
-    def _call(self, saw: CallerSaw, environ: dict[str, Any]) -> CallerSaw:
-        self._sightings.callers.append(saw)
-        router = self._routers[saw.router]
+    def _call(self, record: CallRecord, environ: dict[str, Any]) -> CallRecord:
+        self._observations.calls.append(record)
+        router = self._routers[record.router]
         if router.points.dead:
-            saw.ending, saw.ended = Ending.CUT, self._clock.now()
-            return saw
+            record.ending, record.ended = Ending.CUT, self._clock.now()
+            return record
         inner = self._wrap_app(router.server.call)
 
         def app(environ: dict[str, Any], start_response: Any) -> Any:
             router.points.reach("request.received")
             return inner(environ, start_response)
 
-        router.calls.append(gevent.spawn(perform, app, environ, saw, self._clock))
-        return saw
+        router.calls.append(gevent.spawn(perform, app, environ, record, self._clock))
+        return record
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_fleet.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_fleet.py
@@ -27,18 +27,18 @@
 from loomyard_standins.faults.fake_target import FakeTarget
 from loomyard_standins.faults.fault_points import FaultPoints, RouterKilled
 from loomyard_standins.faults.fleet_objects import make_objects
-from loomyard_standins.faults.hastened_times import HASTENED, HASTENED_RETENTION
+from loomyard_standins.faults.hastened_times import SHORT_RETENTION_SECONDS, SHORT_TIMES
 from loomyard_standins.faults.pointed_platform import (
-    PointedClock,
-    PointedEngine,
-    PointedLog,
-    PointedVmList,
+    InstrumentedClock,
+    InstrumentedEngine,
+    InstrumentedLog,
+    InstrumentedVmList,
 )
 from loomyard_standins.faults.seeded_random import SeededRandom
 from loomyard_standins.faults.sightings import (
-    CutOff,
-    Sightings,
-    Woken,
+    EndedPause,
+    Observations,
+    Partition,
 )
 from loomyard_standins.log_service import MemoryLog
 from loomyard_standins.vm_list import MemoryVmList
@@ -52,7 +52,7 @@
     App = Callable[..., Any]
 
 STEP_SECONDS = 0.2
-TURNS = 10
+LOOP_PASSES = 10
 LOAD_INTERVAL = 1.0
 MILLISECOND = 0.001
 SEED = 1
@@ -78,11 +78,11 @@
         wrap_app: Callable[[App], App] = lambda app: app,
         checks_fencing: bool = True,
         spare: Collection[str] = (),
-        hastened: bool = False,
+        short_times: bool = False,
     ) -> None:
         self.clock = FakeClock()
         random.seed(SEED)
-        self.sightings = Sightings()
+        self.observations = Observations()
         self.faults: deque[AnswerFault] = deque()
         self.log = MemoryLog()
         self.vm_list = MemoryVmList()
@@ -98,17 +98,17 @@
         self._patches = ExitStack()
         self._wrap_engine = wrap_engine
         self._policy = policy
-        self._retention = HASTENED_RETENTION if hastened else RETENTION
-        if hastened:
-            self.hasten()
+        self._retention = SHORT_RETENTION_SECONDS if short_times else RETENTION
+        if short_times:
+            self.shorten_times()
         self._count = routers
         self._starts = 0
-        self._cut_at: dict[str, float] = {}
+        self._partitioned_at: dict[str, float] = {}
         self._paused_at: dict[str, float] = {}
         self.publisher = FakePublisher(
-            self.clock, self.log, self.routers, self.sightings, hastened=hastened
+            self.clock, self.log, self.routers, self.observations, short_times=short_times
         )
-        self.callers = FakeCallers(self.clock, self.routers, self.sightings, wrap_app=wrap_app)
+        self.callers = FakeCallers(self.clock, self.routers, self.observations, wrap_app=wrap_app)
         configured = [target for name, target in self.targets.items() if name not in spare]
         self.publisher.publish(make_objects(configured))
         for position in range(routers):
@@ -120,12 +120,12 @@
         points = FaultPoints()
         engine = self._wrap_engine(FakeEngine(list(self.targets.values())))
         self._starts += 1
-        clock = PointedClock(self.clock, points, self._starts * MILLISECOND)
+        clock = InstrumentedClock(self.clock, points, self._starts * MILLISECOND)
         platform = Platform(
             clock=clock,
-            log=PointedLog(self.log, self.clock, points),
-            engine=PointedEngine(engine, points),
-            vm_list=PointedVmList(self.vm_list, points),
+            log=InstrumentedLog(self.log, self.clock, points),
+            engine=InstrumentedEngine(engine, points),
+            vm_list=InstrumentedVmList(self.vm_list, points),
             weight_store=self.weight_store,
         )
         settings = Settings(
@@ -152,12 +152,12 @@
     def kill(self, name: str) -> None:
         """End a router at once; its callers see their connections break."""
         router = self.routers[name]
-        self._forget_reachable(name)
-        if name not in self.sightings.exited:
-            self.sightings.stopped.pop(name, None)
-        self._forget_leaving(name)
-        for saw in self.sightings.callers:
-            saw.router_died |= saw.router == name and saw.ended is None
+        self._mark_not_reachable(name)
+        if name not in self.observations.exited:
+            self.observations.stopped.pop(name, None)
+        self._discard_unshared_leaving(name)
+        for record in self.observations.calls:
+            record.router_died |= record.router == name and record.ended is None
         router.points.kill()
         self.network.leave(name)
         with suppress(RouterKilled):
@@ -171,7 +171,7 @@
 
     def pause(self, name: str) -> None:
         """Freeze a router."""
-        self._forget_reachable(name)
+        self._mark_not_reachable(name)
         self.routers[name].points.pause()
         self._paused_at[name] = self.clock.now()
 
@@ -179,8 +179,10 @@
         """Let a frozen router go on."""
         router = self.routers[name]
         if router.points.paused:
-            slept = self.clock.now() - self._paused_at[name]
-            self.sightings.woken.append(Woken(router=name, at=self.clock.now(), slept=slept))
+            paused_seconds = self.clock.now() - self._paused_at[name]
+            self.observations.ended_pauses.append(
+                EndedPause(router=name, at=self.clock.now(), paused_seconds=paused_seconds)
+            )
         router.points.wake()
 
     def drain(self, name: str) -> None:
@@ -188,57 +190,59 @@
         router = self.routers[name]
         if router.points.dead:
             return
-        self.sightings.stopped.setdefault(name, self.clock.now())
+        self.observations.stopped.setdefault(name, self.clock.now())
         gevent.spawn(self._drain, router)
-        self.turn()
+        self.run_loop_passes()
 
-    def cut(self, name: str) -> None:
+    def partition(self, name: str) -> None:
         """Cut a router from the log service and from the other routers."""
-        self._forget_reachable(name)
-        self.routers[name].points.log_cut = True
-        self._cut_at.setdefault(name, self.clock.now())
+        self._mark_not_reachable(name)
+        self.routers[name].points.log_unreachable = True
+        self._partitioned_at.setdefault(name, self.clock.now())
         self.network.links.cut({name}, set(self.routers) - {name})
 
-    def hasten(self) -> None:
+    def shorten_times(self) -> None:
         """Shorten the times of orders and snapshots in proportion, until the fleet is closed."""
-        for module, times in HASTENED.items():
+        for module, times in SHORT_TIMES.items():
             self._patches.enter_context(patch.multiple(module, **times))
 
     def heal(self) -> None:
         """Mend every lasting fault that is not a death."""
         self.faults.clear()
         self.network.links.heal()
-        for name, since in self._cut_at.items():
-            cut = CutOff(router=name, since=since, until=self.clock.now())
-            self.sightings.cut_off.append(cut)
-        self._cut_at.clear()
+        for name, since in self._partitioned_at.items():
+            partition = Partition(router=name, since=since, until=self.clock.now())
+            self.observations.partitions.append(partition)
+        self._partitioned_at.clear()
         self.log.down = False
         for name, router in self.routers.items():
             self.wake(name)
-            router.points.mend()
+            router.points.reset()
         for target in self.targets.values():
             target.release()
             if not target.up:
                 self.longest_death = max(self.longest_death, self.clock.now() - target.died_at)
-                target.revive()
+                target.restart()
         self.vm_list.publish()
 
     def fail_answer(self, fault: AnswerFault) -> None:
         """Fail an answer that is on its way, where the fault fits it, or else the next one."""
-        if fault in OPEN_FAULTS and any([t.fail_open(fault) for t in self.targets.values()]):
+        if fault in OPEN_FAULTS and any(
+            [t.fail_open_answers(fault) for t in self.targets.values()]
+        ):
             return
         self.faults.append(fault)
 
-    def turn(self, turns: int = TURNS) -> None:
+    def run_loop_passes(self, loop_passes: int = LOOP_PASSES) -> None:
         """Let every task run that can."""
-        for _ in range(turns):
+        for _ in range(loop_passes):
             gevent.sleep(0)
 
     def run(self, seconds: float) -> None:
         """Move the clock in small steps."""
         for _ in range(math.ceil(seconds / STEP_SECONDS)):
             self.clock.advance(STEP_SECONDS)
-            self.turn()
+            self.run_loop_passes()
 
     def run_until(self, condition: Callable[[], bool], seconds: float) -> None:
         """Move the clock until a condition holds, for some seconds at most."""
@@ -251,39 +255,39 @@
         for name in list(self.routers):
             self.kill(name)
         self._patches.close()
-        self.turn()
+        self.run_loop_passes()
 
     def _drain(self, router: FakeRouter) -> None:
         router.application.drain()
-        self.sightings.exited.add(router.name)
+        self.observations.exited.add(router.name)
         router.points.kill()
         self.network.leave(router.name)
 
     @property
     def live(self) -> list[str]:
         """Return the routers that are neither dead nor stopping."""
-        stopping = self.sightings.stopped
+        stopping = self.observations.stopped
         return [n for n, r in self.routers.items() if not r.points.dead and n not in stopping]
 
-    def _forget_leaving(self, name: str) -> None:
+    def _discard_unshared_leaving(self, name: str) -> None:
         # What one router learned just before its death dies with it.
-        routers = {saw.marker: saw.router for saw in self.sightings.callers}
+        routers = {record.marker: record.router for record in self.observations.calls}
         young = self.clock.now() - LEAVING_SECONDS
-        for target, known in list(self.sightings.leaving.items()):
-            refused = [r for r in self.sightings.runs if r.target == target and r.refused]
+        for target, known in list(self.observations.leaving.items()):
+            refused = [r for r in self.observations.runs if r.target == target and r.refused]
             if known >= young and refused and routers.get(refused[0].marker) == name:
-                del self.sightings.leaving[target]
+                del self.observations.leaving[target]
 
-    def forget_late_generations(self) -> None:
+    def exclude_recent_generations(self) -> None:
         """Expect no more that what was accepted just now is in force in time."""
         for name in self.routers:
-            self._forget_reachable(name)
+            self._mark_not_reachable(name)
 
-    def _forget_reachable(self, name: str) -> None:
+    def _mark_not_reachable(self, name: str) -> None:
         # A router counts as reachable only if it is so for the whole time allowed.
-        for generation, (accepted, reachable) in self.sightings.generations.items():
+        for generation, (accepted, reachable) in self.observations.generations.items():
             if self.clock.now() <= accepted + IN_FORCE_SECONDS:
-                self.sightings.generations[generation] = (accepted, reachable - {name})
+                self.observations.generations[generation] = (accepted, reachable - {name})
 
     def _make_target(self, name: str, **options: bool) -> FakeTarget:
-        return FakeTarget(name, self.clock, self.sightings, self.faults, **options)
+        return FakeTarget(name, self.clock, self.observations, self.faults, **options)
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_peer_network.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_peer_network.py
@@ -10,7 +10,7 @@
 from attrs import frozen
 
 from loomyard_router import fleet_components
-from loomyard_standins.faults.pointed_platform import PointedPeers
+from loomyard_standins.faults.pointed_platform import InstrumentedPeers
 from loomyard_standins.memory_network import MemoryNetwork
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
         self._receive: Callable[[bytes], None] | None = None
 
     def send(self, address: str, data: bytes) -> None:
-        self._points.pass_on()
+        self._points.checkpoint()
         self._network.send_datagram(self._name, address.rpartition(":")[0], data)
 
     def start(self, receive: Callable[[bytes], None]) -> None:
@@ -51,9 +51,9 @@
     def stop(self) -> None:
         self._receive = None
 
-    def take(self, data: bytes) -> None:
+    def deliver(self, data: bytes) -> None:
         """Give a datagram to the router, once it runs."""
-        self._points.pass_on()
+        self._points.checkpoint()
         if self._receive is not None:
             self._receive(data)
 
@@ -68,7 +68,7 @@
     def send_datagram(self, sender: str, to: str, data: bytes) -> None:
         """Send a datagram on its way, where the two are not cut."""
         if to in self._datagrams and not self.links.is_cut(sender, to):
-            gevent.spawn(self._datagrams[to].take, data)
+            gevent.spawn(self._datagrams[to].deliver, data)
 
     def leave(self, name: str) -> None:
         """Remove a router, as a kill does."""
@@ -79,8 +79,8 @@
     def connect(self, name: str, clock: Clock, points: FaultPoints) -> Iterator[None]:
         """Let the router that is made meanwhile use this network."""
 
-        def make_links(*, members: Membership, **_: Any) -> PointedPeers:
-            return PointedPeers(self.links.join(members.own), members, clock, points)
+        def make_links(*, members: Membership, **_: Any) -> InstrumentedPeers:
+            return InstrumentedPeers(self.links.join(members.own), members, clock, points)
 
         def make_datagrams(_: None) -> FakeDatagrams:
             self._datagrams[name] = FakeDatagrams(self, name, points)
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_publisher.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_publisher.py
@@ -1,4 +1,4 @@
-"""What the operators of a fake fleet publish, and the log that forgets it."""
+"""Configuration changes by fake operators, and trimming of the log."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
     from loomyard.clock import Clock
     from loomyard_standins.faults.fake_router import FakeRouter
-    from loomyard_standins.faults.sightings import Sightings
+    from loomyard_standins.faults.sightings import Observations
     from loomyard_standins.log_service import MemoryLog
 
 GENERATION_PREFIX = "generation-"
-YOUNG_SECONDS = 4.0
+RECENT_SECONDS = 4.0  # changes this young may be in no snapshot yet
 
 
 class FakePublisher:
-    """Publish changes of the configuration and trim the log.
+    """Publish configuration changes and trim the log.
 
-    ``hastened`` says that routers rely on snapshots, so that old changes may go.
+    With ``short_times`` routers write snapshots, so that old changes may be trimmed.
     """
 
     def __init__(
@@ -36,30 +36,30 @@
         clock: Clock,
         log: MemoryLog,
         routers: Mapping[str, FakeRouter],
-        sightings: Sightings,
+        observations: Observations,
         *,
-        hastened: bool,
+        short_times: bool,
     ) -> None:
         self.generation = 0
         self._clock = clock
         self._log = log
         self._routers = routers
-        self._sightings = sightings
-        self._hastened = hastened
-        self._ends: list[tuple[float, int]] = []
+        self._observations = observations
+        self._short_times = short_times
+        self._end_offsets: list[tuple[float, int]] = []
 
     def publish(self, objects: list[ConfigObject]) -> bool:
-        """Append a change of new objects; false where the log service refuses."""
+        """Append a change that adds objects; return false if the log service refuses."""
         return self._append([Put(object=o) for o in objects])
 
     def replace(self, item: ConfigObject) -> bool:
-        """Append a change of an object that is configured."""
+        """Append a change that replaces a configured object."""
         follower = next(iter(self._routers.values())).application.components.follower
         based_on = follower.state.get(ref_of(item)).version
         return self._append([Put(object=item, based_on=based_on)])
 
     def publish_generation(self) -> None:
-        """Publish a service whose presence callers can see."""
+        """Publish the next generation: a service that appears in the model lists of callers."""
         self.generation += 1
         name = f"{GENERATION_PREFIX}{self.generation}"
         objects: list[ConfigObject] = [
@@ -70,12 +70,12 @@
             reachable = frozenset(
                 name
                 for name, router in self._routers.items()
-                if not (router.points.paused or router.points.log_cut or router.points.dead)
+                if not (router.points.paused or router.points.log_unreachable or router.points.dead)
             )
-            self._sightings.generations[self.generation] = (self._clock.now(), reachable)
+            self._observations.generations[self.generation] = (self._clock.now(), reachable)
 
     def publish_race(self) -> None:
-        """Publish two changes of which only one can be accepted."""
+        """Publish two conflicting changes, of which only one can be accepted."""
         for name in ("race-a", "race-b"):
             self.publish(
                 [
@@ -85,23 +85,23 @@
             )
 
     def trim_log(self) -> None:
-        """Forget all records but those younger than the retention that routers rely on.
+        """Trim every stream completely, or with short times only old configuration changes.
 
-        Hastened, that leaves claims, whose window is shorter, snapshots, and what was published
-        in the last seconds or is in no snapshot yet.
+        Those are older than ``RECENT_SECONDS``, and trimmed only once a snapshot exists. Claims
+        stay then, since their window is shorter than the retention on which routers rely.
         """
         for stream in self._log.streams:
-            if not self._hastened:
+            if not self._short_times:
                 self._log.trim(stream, self._log.end(stream))
             elif stream == CONFIG_STREAM and SNAPSHOT_STREAM in self._log.streams:
-                self._log.trim(stream, self._old_end())
+                self._log.trim(stream, self._trim_offset())
 
     def _append(self, puts: list[Put]) -> bool:
         change = Change(change_id=secrets.token_hex(8), puts=puts)
         appended = self._log.append(CONFIG_STREAM, encode(change))
-        self._ends.append((self._clock.now(), self._log.end(CONFIG_STREAM)))
+        self._end_offsets.append((self._clock.now(), self._log.end(CONFIG_STREAM)))
         return isinstance(appended, Ok)
 
-    def _old_end(self) -> int:
-        young = self._clock.now() - YOUNG_SECONDS
-        return max((end for at, end in self._ends if at <= young), default=0)
+    def _trim_offset(self) -> int:
+        young = self._clock.now() - RECENT_SECONDS
+        return max((end for at, end in self._end_offsets if at <= young), default=0)
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_target.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_target.py
@@ -13,14 +13,14 @@
 from loomyard_standins.faults.answer_fault import AnswerFault
 from loomyard_standins.faults.fake_answer import FakeAnswer
 from loomyard_standins.faults.generated import generate, generate_plain
-from loomyard_standins.faults.sightings import OrderSeen, Run
+from loomyard_standins.faults.sightings import OrderRecord, Run
 
 if TYPE_CHECKING:
     from collections import deque
     from collections.abc import Callable
 
     from loomyard.clock import Clock
-    from loomyard_standins.faults.sightings import Sightings
+    from loomyard_standins.faults.sightings import Observations
 
 MODEL = "assistant"
 LATE_SECONDS = 1.0
@@ -49,7 +49,7 @@
         self,
         name: str,
         clock: Clock,
-        sightings: Sightings,
+        observations: Observations,
         faults: deque[AnswerFault],
         *,
         plain: bool = False,
@@ -66,11 +66,11 @@
         self.models = set() if plain else {MODEL}
         self.highest_fencing = -1
         self._clock = clock
-        self._sightings = sightings
-        self._kept: dict[str, Run] = {}
+        self._observations = observations
+        self._retained_runs: dict[str, Run] = {}
         self._released = Event()
         self._released.set()
-        self._replays: set[str] = set()
+        self._repeating: set[str] = set()
         self._answers: list[FakeAnswer] = []
 
     @property
@@ -80,7 +80,7 @@
     @property
     def running(self) -> int:
         """Return how many reads are held."""
-        return 0 if self._released.is_set() else len(self._kept)
+        return 0 if self._released.is_set() else len(self._retained_runs)
 
     def hold(self) -> None:
         """Block the answers."""
@@ -90,13 +90,13 @@
         """Let the answers go on."""
         self._released.set()
 
-    def revive(self) -> None:
+    def restart(self) -> None:
         """Start again, empty."""
         self.up = True
-        self._kept.clear()
+        self._retained_runs.clear()
         self.models = set() if self.plain else {MODEL}
 
-    def fail_open(self, fault: AnswerFault) -> bool:
+    def fail_open_answers(self, fault: AnswerFault) -> bool:
         """Fail the answers that are on their way; false where there is none."""
         answers = [answer for answer in self._answers if answer.open]
         for answer in answers:
@@ -105,14 +105,14 @@
                 continue
             self._break_off(answer)
             if fault is AnswerFault.DOUBLED:
-                self._replays.add(answer.attempt_id)
+                self._repeating.add(answer.attempt_id)
         if answers and fault is AnswerFault.GONE_DURING:
             self._die()
         return bool(answers)
 
     def open(self, call: TargetCall) -> Result[FakeAnswer, Fault]:
         """Run a call."""
-        if not self.up or self._takes(AnswerFault.REFUSED):
+        if not self.up or self._pop_fault(AnswerFault.REFUSED):
             return Err(_fault(ResultCode.TARGET_UNREACHABLE, "refused", Executed.NO))
         if not self.plain and json.loads(call.body)["model"] not in self.models:
             return Ok(self._refuse(call, 404, "Loomyard-Not-Run"))
@@ -134,16 +134,16 @@
         """Return the rest of a kept stream; one that was told to double repeats an event."""
         if not self.up:
             return Err(_fault(ResultCode.TARGET_UNREACHABLE, "refused", Executed.UNKNOWN))
-        run = self._kept.get(call.attempt_id)
+        run = self._retained_runs.get(call.attempt_id)
         if run is None:
             return Err(_fault(ResultCode.STREAM_GONE, "not kept", Executed.UNKNOWN))
-        start = after if run.attempt_id in self._replays else after + 1
-        return Ok(self._make(run, run.chunks[max(0, start) :]))
+        start = after if run.attempt_id in self._repeating else after + 1
+        return Ok(self._make_answer(run, run.chunks[max(0, start) :]))
 
     def cancel(self, attempt_id: str) -> Result[None, Fault]:
         """Stop the work of an attempt."""
-        if attempt_id in self._kept:
-            self._kept[attempt_id].cancelled = True
+        if attempt_id in self._retained_runs:
+            self._retained_runs[attempt_id].cancelled = True
         return Ok(None)
 
     def load(self) -> Result[LoadReport, Fault]:
@@ -170,8 +170,8 @@
         if not self.up:
             return Err(_fault(ResultCode.TARGET_UNREACHABLE, "refused", Executed.NO))
         fenced = self.checks_fencing and order.fencing < self.highest_fencing
-        self._sightings.orders.append(
-            OrderSeen(
+        self._observations.orders.append(
+            OrderRecord(
                 target=self.name,
                 checks_fencing=self.checks_fencing,
                 action=order.action,
@@ -208,11 +208,11 @@
             chunks=generated.chunks,
             refused=self.leaving,
         )
-        self._sightings.runs.append(run)
+        self._observations.runs.append(run)
         if run.refused:
-            self._sightings.leaving.setdefault(self.name, run.at)
+            self._observations.leaving.setdefault(self.name, run.at)
             return run
-        self._kept[call.attempt_id] = run
+        self._retained_runs[call.attempt_id] = run
         return run
 
     def _answer(self, run: Run, fault: AnswerFault | None) -> FakeAnswer:
@@ -220,26 +220,26 @@
         half = chunks[: len(chunks) // 2] if len(chunks) > 1 else [chunks[0][: len(chunks[0]) // 2]]
         if fault is AnswerFault.GARBAGE:
             run.broken = True
-            return self._make(run, [b"\x00\xff garbage"])
+            return self._make_answer(run, [b"\x00\xff garbage"])
         if fault is AnswerFault.CROSSED:
             other = Run(target=self.name, attempt_id="other.1", marker="other", at=run.at)
             marked = [chunk.replace(run.marker.encode(), b"other") for chunk in chunks]
-            return self._make(other, marked)
+            return self._make_answer(other, marked)
         if fault is AnswerFault.HALF_ENDED:
             run.broken = True
-            return self._make(run, half)
+            return self._make_answer(run, half)
         if fault not in BROKEN:
             gone = fault is AnswerFault.GONE_AFTER
-            return self._make(run, chunks, after_end=self._die if gone else None)
+            return self._make_answer(run, chunks, after_end=self._die if gone else None)
         if fault is AnswerFault.DOUBLED:
-            self._replays.add(run.attempt_id)
+            self._repeating.add(run.attempt_id)
         if fault is AnswerFault.HALF_FORGOTTEN:
-            del self._kept[run.attempt_id]
+            del self._retained_runs[run.attempt_id]
         gone = fault is AnswerFault.GONE_DURING
         run.broken = True
-        return self._make(run, half, broken=True, after_end=self._die if gone else None)
+        return self._make_answer(run, half, broken=True, after_end=self._die if gone else None)
 
-    def _make(
+    def _make_answer(
         self,
         run: Run,
         chunks: list[bytes],
@@ -269,7 +269,7 @@
             headers=[(header, "1")],
         )
 
-    def _takes(self, fault: AnswerFault) -> bool:
+    def _pop_fault(self, fault: AnswerFault) -> bool:
         if self.faults and self.faults[0] is fault:
             self.faults.popleft()
             return True
@@ -277,8 +277,8 @@
 
     def _break_off(self, answer: FakeAnswer) -> None:
         answer.break_off()
-        if answer.attempt_id in self._kept:
-            self._kept[answer.attempt_id].broken = True
+        if answer.attempt_id in self._retained_runs:
+            self._retained_runs[answer.attempt_id].broken = True
 
     def _die(self) -> None:
         self.up = False
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fault_kind.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fault_kind.py
@@ -1,4 +1,4 @@
-"""The rows of the fault matrix."""
+"""Kinds of faults: the rows of the fault matrix."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class FaultKind(Enum):
-    """What fails; faults of routers strike one router of several."""
+    """A kind of fault; ``ROUTER_`` kinds affect a single router of the fleet."""
 
     ROUTER_KILLED = "router killed"
     ROUTER_PAUSED = "router paused"
@@ -29,5 +29,5 @@
     WEIGHT_STORE_LIMITED = "weight store limited"
 
     @property
-    def strikes_router(self) -> bool:
+    def affects_router(self) -> bool:
         return self.name.startswith("ROUTER_")
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fault_points.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fault_points.py
@@ -1,4 +1,4 @@
-"""Named points of one router process at which a test can stop it."""
+"""Named fault points of one simulated router process."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class RouterKilled(gevent.GreenletExit):
-    """Raised in every task of a killed router at its next step."""
+    """Raised in each task of a killed router at its next checkpoint."""
 
 
 class FaultPoints:
-    """The process of one router: running, paused or dead; cut from the log service or not.
-    ``log_delay`` is in seconds of the clock for each call of the log service.
+    """The state of one router process (running, paused or dead) and its armed fault points.
 
-    ``reach`` stands before each effect on the outside. An action that is armed at a point runs
-    once, when the point is reached; then the task waits while the process is paused.
+    ``log_delay`` delays each call of the log service, in seconds of the fake clock. Fakes call
+    ``reach`` before each external effect. An action armed at a point runs once, when the point is
+    reached; after it the task blocks while the process is paused.
     """
 
     def __init__(self) -> None:
         self.dead = False
-        self.log_cut = False
+        self.log_unreachable = False
         self.log_delay = 0.0
         self.reached: Counter[str] = Counter()
         self._running = Event()
@@ -38,41 +38,41 @@
         return not self._running.is_set()
 
     def arm(self, point: str, action: Callable[[], None]) -> None:
-        """Run an action when a point whose name starts so is reached next."""
+        """Run an action once, when a point whose name starts with ``point`` is next reached."""
         self._armed[point] = action
 
     def reach(self, point: str) -> None:
-        """Pass a point, or wait there, or end there."""
-        self.pass_on()
+        """Count a point, run the actions armed at it and stop at the checkpoint before and after."""
+        self.checkpoint()
         self.reached[point] += 1
         for prefix in [armed for armed in self._armed if point.startswith(armed)]:
-            # In a task of its own, since the action may end this one.
+            # In its own task, since the action may kill this one.
             gevent.spawn(self._armed.pop(prefix)).join()
-        self.pass_on()
+        self.checkpoint()
 
-    def pass_on(self) -> None:
-        """Wait while paused; end where dead."""
+    def checkpoint(self) -> None:
+        """Block while the process is paused; raise ``RouterKilled`` once it is dead."""
         while self.paused and not self.dead:
             self._running.wait()
         if self.dead:
             raise RouterKilled
 
     def pause(self) -> None:
-        """Freeze the process."""
+        """Pause the process: its tasks block at their next checkpoint."""
         self._running.clear()
 
     def wake(self) -> None:
-        """Let the process go on."""
+        """Resume the paused process."""
         self._running.set()
 
-    def mend(self) -> None:
-        """Wake, reach the log service again and disarm all points."""
-        self.log_cut = False
+    def reset(self) -> None:
+        """Resume the process, restore the log service and disarm all points."""
+        self.log_unreachable = False
         self.log_delay = 0.0
         self._armed.clear()
         self.wake()
 
     def kill(self) -> None:
-        """Refuse all further effects of the process."""
+        """Mark the process dead, so that all its tasks end at their next checkpoint."""
         self.dead = True
         self._running.set()
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fleet_objects.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fleet_objects.py
@@ -1,4 +1,4 @@
-"""The objects that configure a fake fleet."""
+"""Configuration objects of a fake fleet."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def make_target_object(target: FakeTarget) -> Target:
-    """Return the object that configures a target."""
+    """Return the configuration object of a fake target."""
     return Target(
         metadata=Metadata(name=target.name, labels={"kind": "plain" if target.plain else "engine"}),
         url=target.url,
@@ -40,7 +40,7 @@
 
 
 def make_objects(configured: Iterable[FakeTarget]) -> list[ConfigObject]:
-    """Return the accounts, services, routes and those targets."""
+    """Return the accounts, services and routes of the fleet, and the given targets."""
     receipts = Operation(path="/receipts", method="POST", idempotent=False)
     accounts = [
         ClientAccount(metadata=Metadata(name=name), key_digests=[digest_key(fake_key(name))])
--- a/packages/loomyard-standins/src/loomyard_standins/faults/generated.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/generated.py
@@ -1,4 +1,4 @@
-"""What a target in memory generates for a call."""
+"""Generation of the answers of fake targets."""
 
 from __future__ import annotations
 
@@ -14,36 +14,36 @@
 
 
 @frozen
-class Generated:
-    """The marker of a call, its tokens and the chunks of its answer."""
+class GeneratedAnswer:
+    """The marker of a call, its number of tokens and the chunks of its answer."""
 
     marker: str
     tokens: int
     chunks: list[bytes]
 
 
-def generate_plain(call: TargetCall) -> Generated:
-    """Return what a plain server answers."""
+def generate_plain(call: TargetCall) -> GeneratedAnswer:
+    """Return the answer of a plain service to a call."""
     marker = call.body.decode()
-    return Generated(marker, 0, [plain_body(marker).encode()])
+    return GeneratedAnswer(marker, 0, [plain_body(marker).encode()])
 
 
-def generate(call: TargetCall) -> Generated:
-    """Return what a model engine answers."""
+def generate(call: TargetCall) -> GeneratedAnswer:
+    """Return the answer of a model engine to a call, streamed if the call asks for it."""
     body = json.loads(call.body)
     marker, tokens = body["prompt"], int(body.get("max_tokens", DEFAULT_TOKENS))
     if body.get("stream"):
-        return Generated(marker, tokens, _stream_chunks(call.attempt_id, marker, tokens))
-    return Generated(marker, tokens, [_whole_chunk(call.attempt_id, marker, tokens)])
+        return GeneratedAnswer(marker, tokens, _stream_chunks(call.attempt_id, marker, tokens))
+    return GeneratedAnswer(marker, tokens, [_whole_chunk(call.attempt_id, marker, tokens)])
 
 
 def expected_text(marker: str, tokens: int) -> str:
-    """Return the text that a model generates for a marker."""
+    """Return the text that a fake engine generates for a marker."""
     return "".join(f"{marker}.{number} " for number in range(tokens))
 
 
 def plain_body(marker: str) -> str:
-    """Return the body with which a plain server answers a marker."""
+    """Return the body with which a plain service answers a marker."""
     return json.dumps({"echo": marker})
 
 
--- a/packages/loomyard-standins/src/loomyard_standins/faults/happening.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/happening.py
@@ -1,4 +1,4 @@
-"""One thing that happens to a fleet in a drawn sequence."""
+"""Fault events and random sequences of them."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
 
 @frozen
-class Happening:
+class FaultEvent:
     """A fault, or a planned stop where ``fault`` is ``None``.
 
-    It strikes the router ``victim`` at once or when that router reaches ``point`` next, and lasts
-    for some seconds; with ``heals`` everything is mended then.
+    It affects the router with index ``victim``, at once or when that router next reaches a fault
+    point starting with ``point``. After ``seconds``, ``heals`` removes all faults of the fleet.
     """
 
     fault: FaultKind | None
@@ -47,15 +47,15 @@
     heals: bool
 
 
-def draw_sequence(source: random.Random) -> list[Happening]:
-    """Draw a sequence."""
+def draw_sequence(rng: random.Random) -> list[FaultEvent]:
+    """Draw a random sequence of fault events."""
     return [
-        Happening(
-            fault=source.choice([*FaultKind, None]),
-            victim=source.randrange(ROUTERS),
-            point=source.choice(POINTS),
-            seconds=source.choice(SECONDS),
-            heals=source.random() < 0.5,
+        FaultEvent(
+            fault=rng.choice([*FaultKind, None]),
+            victim=rng.randrange(ROUTERS),
+            point=rng.choice(POINTS),
+            seconds=rng.choice(SECONDS),
+            heals=rng.random() < 0.5,
         )
-        for _ in range(source.choice(LENGTHS))
+        for _ in range(rng.choice(LENGTHS))
     ]
--- a/packages/loomyard-standins/src/loomyard_standins/faults/hastened_times.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/hastened_times.py
@@ -1,4 +1,4 @@
-"""Times of orders and snapshots shortened in proportion."""
+"""Proportionally shortened timings, in seconds, of orders and configuration snapshots."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 if TYPE_CHECKING:
     from types import ModuleType
 
-HASTENED_RETENTION = 8.0
-HASTENED: dict[ModuleType, dict[str, float]] = {
+SHORT_RETENTION_SECONDS = 8.0
+SHORT_TIMES: dict[ModuleType, dict[str, float]] = {
     snapshot_writer: {"CHECK_SECONDS": 1.0},
     order_controller: {"STEP_SECONDS": 0.2},
     order_lease_manager: {"TERM": 2.0, "RENEW_AFTER": 0.6, "MARGIN": 0.4, "TAKEOVER_AFTER": 2.5},
--- a/packages/loomyard-standins/src/loomyard_standins/faults/injection.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/injection.py
@@ -1,4 +1,4 @@
-"""How each fault is brought about in a fake fleet."""
+"""Injection of each kind of fault into a fake fleet."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def inject(fault: FaultKind, fleet: FakeFleet, victim: str) -> None:
-    """Bring a fault about now; ``victim`` is the router that it strikes, where it strikes one."""
+    """Inject a fault now; ``victim`` is the router affected by a router fault."""
     _INJECTIONS[fault](fleet, victim)
 
 
@@ -39,10 +39,10 @@
 
 
 def _partition(fleet: FakeFleet, victim: str) -> None:
-    fleet.cut(victim)
+    fleet.partition(victim)
 
 
-def _answers(fault: AnswerFault) -> Injection:
+def _fail_answer(fault: AnswerFault) -> Injection:
     def apply(fleet: FakeFleet, victim: str) -> None:
         fleet.fail_answer(fault)
 
@@ -67,7 +67,7 @@
 
 
 def _vm_list_stale(fleet: FakeFleet, victim: str) -> None:
-    # The list still says that the VM lives, while the target on it refuses new work.
+    # The VM list still shows the VM as live, while the target on it refuses new work.
     fleet.engines[0].leaving = True
     fleet.records[0].leaving = True
 
@@ -91,13 +91,13 @@
     FaultKind.ROUTER_PAUSED: _pause,
     FaultKind.ROUTER_RESTARTED: _restart,
     FaultKind.ROUTER_PARTITIONED: _partition,
-    FaultKind.TARGET_GONE_BEFORE: _answers(AnswerFault.GONE_BEFORE),
-    FaultKind.TARGET_GONE_DURING: _answers(AnswerFault.GONE_DURING),
-    FaultKind.TARGET_GONE_AFTER: _answers(AnswerFault.GONE_AFTER),
-    FaultKind.ANSWER_LATE: _answers(AnswerFault.LATE),
-    FaultKind.ANSWER_LOST: _answers(AnswerFault.LOST),
-    FaultKind.ANSWER_DOUBLED: _answers(AnswerFault.DOUBLED),
-    FaultKind.ANSWER_CROSSED: _answers(AnswerFault.CROSSED),
+    FaultKind.TARGET_GONE_BEFORE: _fail_answer(AnswerFault.GONE_BEFORE),
+    FaultKind.TARGET_GONE_DURING: _fail_answer(AnswerFault.GONE_DURING),
+    FaultKind.TARGET_GONE_AFTER: _fail_answer(AnswerFault.GONE_AFTER),
+    FaultKind.ANSWER_LATE: _fail_answer(AnswerFault.LATE),
+    FaultKind.ANSWER_LOST: _fail_answer(AnswerFault.LOST),
+    FaultKind.ANSWER_DOUBLED: _fail_answer(AnswerFault.DOUBLED),
+    FaultKind.ANSWER_CROSSED: _fail_answer(AnswerFault.CROSSED),
     FaultKind.LOG_DOWN: _log_down,
     FaultKind.LOG_SLOW: _log_slow,
     FaultKind.LOG_ANSWER_LOST: _log_answer_lost,
--- a/packages/loomyard-standins/src/loomyard_standins/faults/matrix.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/matrix.py
@@ -50,7 +50,7 @@
     def variants(self) -> list[tuple[str, Scenario]]:
         """Return the ways in which the cell runs, each with its label."""
         variants = _variants(self.step)
-        if self.step in _BY_VICTIM and not self.fault.strikes_router:
+        if self.step in _BY_VICTIM and not self.fault.affects_router:
             return variants[:1]
         return variants
 
@@ -90,8 +90,8 @@
     run_request(fleet, step, kind, trigger)
 
 
-def _lease(step: Step, strikes: LeaseVictim, fleet: FakeFleet, trigger: Trigger) -> None:
-    run_lease(fleet, step, strikes, trigger)
+def _lease(step: Step, role: LeaseVictim, fleet: FakeFleet, trigger: Trigger) -> None:
+    run_lease(fleet, step, role, trigger)
 
 
 def finish(fleet: FakeFleet) -> list[Violation]:
@@ -103,7 +103,7 @@
     fleet.callers.probe()
     fleet.run_until(lambda: fleet.callers.probes_ended, PROBE_SECONDS)
     fleet.callers.watch_models(final=True)
-    return check(fleet.sightings)
+    return check(fleet.observations)
 
 
 def _run(cell: Cell, label: str, scenario: Scenario) -> CellRun:
--- a/packages/loomyard-standins/src/loomyard_standins/faults/planted_bugs.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/planted_bugs.py
@@ -1,4 +1,4 @@
-"""Bugs that are planted before and behind a router, to prove the checkers."""
+"""Bugs planted between a router and its callers or targets, to test the checkers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class BuggyEngine:
-    """Pass every call on."""
+    """Engine wrapper without a bug; base of the buggy engines."""
 
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
@@ -31,7 +31,7 @@
 
 
 class SendsTwice(BuggyEngine):
-    """Send each call twice, as a blind retry does."""
+    """Send each call twice, as an unconditional retry would."""
 
     def open(self, call: TargetCall) -> Result[TargetAnswer, Fault]:
         self.engine.open(evolve(call, attempt_id=f"{call.attempt_id}.again"))
@@ -39,20 +39,20 @@
 
 
 class DeniesExecution(BuggyEngine):
-    """Say that nothing was sent where an answer was lost."""
+    """Report a call whose answer was lost as not executed."""
 
     def open(self, call: TargetCall) -> Result[TargetAnswer, Fault]:
         return self.engine.open(call).map_err(lambda fault: evolve(fault, executed=Executed.NO))
 
 
 class ChangesAnswers:
-    """Change each piece of an answer on its way to the caller."""
+    """WSGI wrapper that passes each chunk of an answer through ``change``."""
 
     def __init__(self, app: Callable[..., Iterable[bytes]]) -> None:
         self._app = app
 
     def change(self, data: bytes) -> bytes:
-        """Return the changed piece."""
+        """Return the chunk that the caller gets instead."""
         return data
 
     def __call__(self, environ: dict[str, Any], start_response: Any) -> Iterator[bytes]:
@@ -61,28 +61,28 @@
 
 
 class CrossesAnswers(ChangesAnswers):
-    """Give a caller the text of another."""
+    """Replace the text of one account by that of another."""
 
     def change(self, data: bytes) -> bytes:
         return data.replace(b"kiosk/", b"labels/")
 
 
 class DoublesEvents(ChangesAnswers):
-    """Give each event twice."""
+    """Duplicate the event with id 2 of a stream."""
 
     def change(self, data: bytes) -> bytes:
         return data + data if data.startswith(b"id: 2") else data
 
 
 class DropsEvents(ChangesAnswers):
-    """Leave an event out."""
+    """Drop the event with id 2 of a stream."""
 
     def change(self, data: bytes) -> bytes:
         return b": none\n\n" if data.startswith(b"id: 2") else data
 
 
 class CutsWholeAnswers(ChangesAnswers):
-    """End an answer cleanly in its middle."""
+    """Cut each chunk in half while the answer still ends cleanly."""
 
     def change(self, data: bytes) -> bytes:
         return data[: len(data) // 2]
--- a/packages/loomyard-standins/src/loomyard_standins/faults/pointed_platform.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/pointed_platform.py
@@ -29,7 +29,7 @@
     """A router reads the log over and over without waiting."""
 
 
-class PointedClock:
+class InstrumentedClock:
     """A clock that a paused process can't read.
 
     ``started_after`` shifts the wall clock by some seconds, so that no two starts see one time.
@@ -41,20 +41,20 @@
         self._started_after = started_after
 
     def now(self) -> float:
-        self._points.pass_on()
+        self._points.checkpoint()
         return self._clock.now()
 
     def wall(self) -> float:
-        self._points.pass_on()
+        self._points.checkpoint()
         return self._clock.wall() + self._started_after
 
     def sleep(self, seconds: float) -> None:
-        self._points.pass_on()
+        self._points.checkpoint()
         self._clock.sleep(seconds)
-        self._points.pass_on()
+        self._points.checkpoint()
 
 
-class PointedLog:
+class InstrumentedLog:
     """A log service that a router can be cut from and that answers slowly when told."""
 
     def __init__(self, log: LogService, clock: Clock, points: FaultPoints) -> None:
@@ -66,24 +66,24 @@
 
     def append(self, stream: str, payload: bytes) -> Result[int, Fault]:
         self._points.reach(f"log.append {stream}")
-        if self._points.log_cut:
-            return Err(_cut())
+        if self._points.log_unreachable:
+            return Err(_unreachable_fault())
         self._wait()
         result = self._log.append(stream, payload)
         self._points.reach(f"log.appended {stream}")
-        return Err(_cut()) if self._points.log_cut else result
+        return Err(_unreachable_fault()) if self._points.log_unreachable else result
 
     def read(
         self, stream: str, offset: int, *, limit: int = 1000, wait: float = 0.0
     ) -> Result[LogBatch, Fault]:
         self._points.reach(f"log.read {stream}")
         self._check_busy()
-        if self._points.log_cut:
-            return Err(_cut())
+        if self._points.log_unreachable:
+            return Err(_unreachable_fault())
         result = self._log.read(stream, offset, limit=limit, wait=wait)
         self._wait()
         self._points.reach(f"log.answered {stream}")
-        return Err(_cut()) if self._points.log_cut else result
+        return Err(_unreachable_fault()) if self._points.log_unreachable else result
 
     def _check_busy(self) -> None:
         if self._clock.now() != self._read_at:
@@ -97,7 +97,7 @@
             self._clock.sleep(self._points.log_delay)
 
 
-class PointedAnswer:
+class InstrumentedAnswer:
     """An answer that a router reads."""
 
     def __init__(self, answer: TargetAnswer, points: FaultPoints) -> None:
@@ -117,7 +117,7 @@
         self._answer.close()
 
 
-class PointedEngine:
+class InstrumentedEngine:
     """The targets as a router reaches them."""
 
     def __init__(self, engine: Engine, points: FaultPoints) -> None:
@@ -128,12 +128,12 @@
         self._points.reach("engine.open")
         result = self._engine.open(call)
         self._points.reach("engine.opened")
-        return result.map(lambda answer: PointedAnswer(answer, self._points))
+        return result.map(lambda answer: InstrumentedAnswer(answer, self._points))
 
     def resume(self, call: TargetCall, after: int) -> Result[TargetAnswer, Fault]:
         self._points.reach("engine.resume")
         result = self._engine.resume(call, after)
-        return result.map(lambda answer: PointedAnswer(answer, self._points))
+        return result.map(lambda answer: InstrumentedAnswer(answer, self._points))
 
     def order(self, url: str, order: EngineOrder) -> Result[None, Fault]:
         self._points.reach("engine.order")
@@ -142,7 +142,7 @@
         return result
 
     def cancel(self, url: str, attempt_id: str) -> Result[None, Fault]:
-        self._points.pass_on()
+        self._points.checkpoint()
         return self._engine.cancel(url, attempt_id)
 
     def load(self, url: str) -> Result:
@@ -150,11 +150,11 @@
         return self._engine.load(url)
 
     def cache_events(self, url: str, after: int) -> Result:
-        self._points.pass_on()
+        self._points.checkpoint()
         return self._engine.cache_events(url, after)
 
 
-class PointedVmList:
+class InstrumentedVmList:
     """The VM list as a router reads it."""
 
     def __init__(self, vms: VmList, points: FaultPoints) -> None:
@@ -162,11 +162,11 @@
         self._points = points
 
     def read(self) -> Result[list[Vm], Fault]:
-        self._points.pass_on()
+        self._points.checkpoint()
         return self._vms.read()
 
 
-class PointedPeers:
+class InstrumentedPeers:
     """The other routers as a router reaches them; a request ends at its deadline."""
 
     def __init__(
@@ -184,24 +184,24 @@
 
     def request(self, to: str, message: Any, deadline: float) -> Result[Any, Fault]:
         self._points.reach(f"peer.request {type(message).__name__}")
-        asked = gevent.spawn(self._peers.request, to, message, deadline)
+        pending = gevent.spawn(self._peers.request, to, message, deadline)
         timer = gevent.spawn(self._clock.sleep, max(0.0, deadline - self._clock.now()))
-        gevent.wait([asked, timer], count=1)
+        gevent.wait([pending, timer], count=1)
         timer.kill(block=False)
-        self._points.pass_on()
-        if asked.successful() and isinstance(asked.value, Ok | Err):
-            return asked.value
-        asked.kill(block=False)
+        self._points.checkpoint()
+        if pending.successful() and isinstance(pending.value, Ok | Err):
+            return pending.value
+        pending.kill(block=False)
         self._members.suspect(to)
         return Err(Fault(code=ResultCode.PEER_UNREACHABLE, detail=f"no answer from {to}"))
 
     def handle(self, kind: type, handler: Callable[[Member, Any], Any]) -> None:
-        def gated(sender: Member, message: Any) -> Any:
+        def handle_after_point(sender: Member, message: Any) -> Any:
             self._points.reach(f"peer.receive {kind.__name__}")
             return handler(sender, message)
 
         register_message(kind)
-        self._peers.handle(kind, gated)
+        self._peers.handle(kind, handle_after_point)
 
     def start(self) -> None:
         self._peers.start()
@@ -210,5 +210,5 @@
         self._peers.stop()
 
 
-def _cut() -> Fault:
+def _unreachable_fault() -> Fault:
     return Fault(code=ResultCode.LOG_UNAVAILABLE, detail="cut from the log service")
--- a/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/change.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/change.py
@@ -25,7 +25,7 @@
         case Step.CHANGE_APPENDED:
             trigger.arm(fleet, "log.answered loomyard.configuration", VICTIM)
     fleet.publisher.publish_generation()
-    fleet.turn()
+    fleet.run_loop_passes()
     if step is Step.CHANGE_IN_FORCE:
         trigger.fire(VICTIM)
     for router in (VICTIM, OTHER):
--- a/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/lease.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/lease.py
@@ -23,10 +23,10 @@
     ALLOCATOR = "strikes the allocator"
 
 
-def run_lease(fleet: FakeFleet, step: Step, strikes: LeaseVictim, trigger: Trigger) -> None:
+def run_lease(fleet: FakeFleet, step: Step, role: LeaseVictim, trigger: Trigger) -> None:
     """Fill two routers with work and let the fault come at a step of a slot lease."""
     holder, allocator = _find_roles(fleet)
-    victim = holder if strikes is LeaseVictim.HOLDER else allocator
+    victim = holder if role is LeaseVictim.HOLDER else allocator
     for target in fleet.engines:
         target.hold()
     match step:
--- a/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/order.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/order.py
@@ -28,7 +28,7 @@
 
 def run_order(fleet: FakeFleet, step: Step, trigger: Trigger) -> None:
     """Call for a service that an engine has to load, and let the fault come at a step."""
-    fleet.hasten()
+    fleet.shorten_times()
     match step:
         case Step.ORDER_LEASED:
             trigger.arm_all(fleet, "log.appended loomyard.orders")
@@ -38,7 +38,7 @@
             trigger.arm_all(fleet, "engine.ordered")
     for number in range(ROUNDS):
         if step is Step.ORDER_DECIDED and number == DECIDED_ROUND:
-            trigger.arm(fleet, "engine.load", _find_keeper(fleet))
+            trigger.arm(fleet, "engine.load", _find_controller(fleet))
         _call(fleet, f"order-{number}")
     fleet.heal()
     for number in range(RECOVERY_ROUNDS):
@@ -57,6 +57,6 @@
     fleet.run(ROUND_SECONDS)
 
 
-def _find_keeper(fleet: FakeFleet) -> str:
+def _find_controller(fleet: FakeFleet) -> str:
     point = "log.appended loomyard.orders"
     return max(fleet.routers, key=lambda name: fleet.routers[name].points.reached[point])
--- a/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/request.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/request.py
@@ -13,7 +13,7 @@
 
     from loomyard_standins.faults.fake_fleet import FakeFleet
     from loomyard_standins.faults.scenarios.trigger import Trigger
-    from loomyard_standins.faults.sightings import CallerSaw
+    from loomyard_standins.faults.sightings import CallRecord
 
 KEY = "8e03978e-40d5-43e8-bc93-6894a57f9324"
 FILLERS = 8
@@ -48,7 +48,7 @@
     _call(fleet, kind, VICTIM)
     if step is Step.REQUEST_QUEUED:
         trigger.fire(VICTIM)
-        fleet.turn()
+        fleet.run_loop_passes()
         for target in fleet.targets.values():
             target.release()
     fleet.run(AFTER_SECONDS)
@@ -81,9 +81,9 @@
         fleet.callers.call_plain(f"genealogy/filler-plain-{number}", VICTIM, idempotent=True)
 
 
-def _call(fleet: FakeFleet, kind: RequestKind, router: str) -> CallerSaw:
+def _call(fleet: FakeFleet, kind: RequestKind, router: str) -> CallRecord:
     marker = f"kiosk/{kind.name.lower()}"
-    calls: dict[RequestKind, Callable[[], CallerSaw]] = {
+    calls: dict[RequestKind, Callable[[], CallRecord]] = {
         RequestKind.STREAM: lambda: fleet.callers.call_model(marker, router),
         RequestKind.WHOLE: lambda: fleet.callers.call_model(marker, router, stream=False),
         RequestKind.RECEIPT: lambda: fleet.callers.call_plain(marker, router),
--- a/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/stop.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/stop.py
@@ -35,7 +35,7 @@
     for target in fleet.targets.values():
         target.release()
     if step is Step.STOP_ENDING:
-        fleet.turn(2)
+        fleet.run_loop_passes(2)
         trigger.fire(VICTIM)
     fleet.callers.call_plain("labels/stop", OTHER, key=KEY)
     fleet.run(1.5)
--- a/packages/loomyard-standins/src/loomyard_standins/faults/seeded_random.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/seeded_random.py
@@ -8,7 +8,7 @@
 
 
 class SeededRandom(random.Random):
-    """Draw the same numbers each time where no seed is given."""
+    """Generator with a fixed seed by default, so that runs are reproducible."""
 
     def __init__(self, seed: object = None) -> None:
         super().__init__(SEED if seed is None else seed)  # type: ignore[arg-type]
--- a/packages/loomyard-standins/src/loomyard_standins/faults/sequences.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/sequences.py
@@ -15,50 +15,50 @@
     from collections.abc import Iterable
 
     from loomyard_standins.faults.checkers import Violation
-    from loomyard_standins.faults.happening import Happening
+    from loomyard_standins.faults.happening import FaultEvent
 
 SOON = 0.2
 END_SECONDS = 30.0
 DEATHS = frozenset([FaultKind.ROUTER_KILLED, None])
 
 
-def run_sequence(happenings: Iterable[Happening], **options: Any) -> list[Violation]:
+def run_sequence(events: Iterable[FaultEvent], **options: Any) -> list[Violation]:
     """Let things happen one after another, mend all, and check every invariant."""
-    fleet = FakeFleet(hastened=True, **options)
+    fleet = FakeFleet(short_times=True, **options)
     try:
-        for number, happening in enumerate(happenings):
-            _happen(fleet, number, happening)
+        for number, event in enumerate(events):
+            _apply_event(fleet, number, event)
         _repeat_keys(fleet)
         fleet.run(SOON)
         finish(fleet)
         _repeat_keys(fleet)
         fleet.run(SOON)
         fleet.run_until(lambda: fleet.callers.calls_ended, END_SECONDS)
-        return check(fleet.sightings)
+        return check(fleet.observations)
     finally:
         fleet.close()
 
 
-def _happen(fleet: FakeFleet, number: int, happening: Happening) -> None:
+def _apply_event(fleet: FakeFleet, number: int, event: FaultEvent) -> None:
     fleet.publisher.publish_generation()
-    _work(fleet, f"{number}-before")
-    fleet.turn(2)
-    victim = list(fleet.routers)[happening.victim]
-    if happening.point == NOW:
-        _strike(fleet, happening, victim)
+    _start_requests(fleet, f"{number}-before")
+    fleet.run_loop_passes(2)
+    victim = list(fleet.routers)[event.victim]
+    if event.point == NOW:
+        _inject(fleet, event, victim)
     else:
         points = fleet.routers[victim].points
-        points.arm(happening.point, lambda: _strike(fleet, happening, victim))
-    _work(fleet, f"{number}-after")
-    fleet.run(happening.seconds)
+        points.arm(event.point, lambda: _inject(fleet, event, victim))
+    _start_requests(fleet, f"{number}-after")
+    fleet.run(event.seconds)
     fleet.callers.watch_models()
-    if happening.heals:
+    if event.heals:
         fleet.heal()
         fleet.run(SOON)
 
 
-def _strike(fleet: FakeFleet, happening: Happening, victim: str) -> None:
-    fault = happening.fault
+def _inject(fleet: FakeFleet, event: FaultEvent, victim: str) -> None:
+    fault = event.fault
     if fault in DEATHS and len(fleet.live) < 2:
         fault = FaultKind.ROUTER_RESTARTED
     if fault is None:
@@ -66,11 +66,11 @@
         return
     if fault is FaultKind.LOG_DOWN:
         # What was accepted just before may be known to nobody who can be reached.
-        fleet.forget_late_generations()
+        fleet.exclude_recent_generations()
     inject(fault, fleet, victim)
 
 
-def _work(fleet: FakeFleet, name: str) -> None:
+def _start_requests(fleet: FakeFleet, name: str) -> None:
     for router in fleet.routers:
         suffix = f"{name}-{router}"
         fleet.callers.call_model(f"kiosk/stream-{suffix}", router)
@@ -81,7 +81,7 @@
 
 def _repeat_keys(fleet: FakeFleet) -> None:
     routers = list(fleet.routers)
-    keyed = [saw for saw in fleet.sightings.callers if saw.key and not saw.repeat]
-    for number, saw in enumerate(keyed):
+    keyed = [record for record in fleet.observations.calls if record.key and not record.repeat]
+    for number, record in enumerate(keyed):
         router = routers[number % len(routers)]
-        fleet.callers.call_plain(saw.marker, router, key=saw.key).repeat = True
+        fleet.callers.call_plain(record.marker, router, key=record.key).repeat = True
--- a/packages/loomyard-standins/src/loomyard_standins/faults/sightings.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/sightings.py
@@ -1,4 +1,4 @@
-"""What targets and callers saw: the only evidence that the checkers use."""
+"""Records of what targets and callers observed: the only input of the checkers."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @define(kw_only=True, eq=False)
 class Run:
-    """A call that reached a target.
+    """One execution of a call at a target.
 
-    ``marker`` names the request, ``tokens`` counts what was generated. A call that the target
-    refused was not run.
+    ``marker`` identifies the request; ``tokens`` counts the generated tokens. ``refused`` calls
+    reached the target but did not execute; ``broken`` ones lost their answer to a fault.
     """
 
     target: str
@@ -27,8 +27,8 @@
 
 
 @define(kw_only=True, eq=False)
-class OrderSeen:
-    """An order that reached a target, and whether it took effect."""
+class OrderRecord:
+    """An order received by a target, and whether it took effect."""
 
     target: str
     checks_fencing: bool
@@ -48,8 +48,13 @@
 
 
 @define(kw_only=True, eq=False)
-class CallerSaw:
-    """One call as its caller saw it; ``expected`` is the text or body of the whole answer."""
+class CallRecord:
+    """One call as its caller observed it.
+
+    ``expected`` is the text or body of the complete answer, ``ended`` the time of the end or
+    ``None`` while open, ``executed`` and ``code`` are from the error body. A ``probe`` is sent
+    after all faults are healed; a ``repeat`` sends an idempotency key again.
+    """
 
     marker: str
     account: str
@@ -72,8 +77,8 @@
 
 
 @define(kw_only=True, eq=False)
-class ModelsSeen:
-    """The models that a router listed to a caller, and the newest generation among them."""
+class ModelListing:
+    """The models listed by a router at a time, and the newest generation among them."""
 
     router: str
     at: float
@@ -83,17 +88,17 @@
 
 
 @frozen(kw_only=True)
-class Woken:
-    """A router that went on after a pause of some seconds."""
+class EndedPause:
+    """A router that resumed at a time after a pause."""
 
     router: str
     at: float
-    slept: float
+    paused_seconds: float
 
 
 @frozen(kw_only=True)
-class CutOff:
-    """A router that could reach neither the log service nor other routers for a while."""
+class Partition:
+    """A period in which a router reached neither the log service nor other routers."""
 
     router: str
     since: float
@@ -101,24 +106,24 @@
 
 
 @define(eq=False)
-class Sightings:
-    """Everything that was seen.
-
-    A ``probe`` is a call after all faults are mended; ``final`` lists were read at the very end.
-    ``leaving`` maps a target to the time from which the first router knew; ``stopped`` maps a
-    router to the time of its planned stop, unless it died in between; ``generations`` maps a
-    published generation to the time of its acceptance and the routers that could reach the log
-    for the whole time allowed.
+class Observations:
+    """Everything that was recorded in one run of a fake fleet.
+
+    ``final`` listings are read after the probes. ``leaving`` maps a target to the time at which
+    the first router learned that it leaves; ``stopped`` maps a router to the time of its planned
+    stop, unless it was killed before the stop ended; ``generations`` maps a published generation
+    to the time of its acceptance and the routers that could reach the log service for all of
+    ``IN_FORCE_SECONDS`` after it. ``weights`` maps accounts to their fair-share weights.
     """
 
     runs: list[Run] = field(factory=list)
-    orders: list[OrderSeen] = field(factory=list)
-    callers: list[CallerSaw] = field(factory=list)
-    seen: list[ModelsSeen] = field(factory=list)
+    orders: list[OrderRecord] = field(factory=list)
+    calls: list[CallRecord] = field(factory=list)
+    model_listings: list[ModelListing] = field(factory=list)
     leaving: dict[str, float] = field(factory=dict)
     exited: set[str] = field(factory=set)
     stopped: dict[str, float] = field(factory=dict)
     generations: dict[int, tuple[float, frozenset[str]]] = field(factory=dict)
-    cut_off: list[CutOff] = field(factory=list)
-    woken: list[Woken] = field(factory=list)
+    partitions: list[Partition] = field(factory=list)
+    ended_pauses: list[EndedPause] = field(factory=list)
     weights: dict[str, float] = field(factory=dict)
--- a/packages/loomyard-standins/src/loomyard_standins/faults/step.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/step.py
@@ -1,4 +1,4 @@
-"""The columns of the fault matrix."""
+"""Operations and their steps: the columns of the fault matrix."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Operation(Enum):
-    """What is under way when a fault comes."""
+    """An operation of the fleet during which faults are injected."""
 
     REQUEST = "request"
     CHANGE = "configuration change"
@@ -16,7 +16,7 @@
 
 
 class Step(Enum):
-    """A step of an operation, at which a fault comes."""
+    """A step of an operation at which faults are injected; values are operation and label."""
 
     REQUEST_RECEIVED = (Operation.REQUEST, "received")
     REQUEST_QUEUED = (Operation.REQUEST, "queued")
--- a/packages/loomyard-standins/src/loomyard_standins/faults/unreachable.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/unreachable.py
@@ -1,4 +1,4 @@
-"""The cells of the fault matrix that can't occur, with the reason."""
+"""Cells of the fault matrix that can't occur, each with the reason."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class Unreachable(Enum):
-    """Why a cell can't occur."""
+    """Reason for which a cell can't occur; the values are printed in the fault matrix page."""
 
     ANSWER_BEGUN = "the answer has begun"
     ANSWER_ENDED = "the answer has ended"
-    NO_CONTENT = "the answer to an order carries nothing that could cross or double"
-    NO_ORDER = "no order is under way, and nothing else asks the weight store"
+    NO_CONTENT = "the answer to an order has no content that could be swapped or duplicated"
+    NO_ORDER = "no order is in progress, and nothing else uses the weight store"
 
 
 _BEGUN = frozenset([Step.REQUEST_ANSWERING, Step.REQUEST_ENDED])
@@ -33,7 +33,7 @@
 
 
 def why_unreachable(fault: FaultKind, step: Step) -> Unreachable | None:
-    """Return why a fault can't come at a step; ``None`` where it can."""
+    """Return why a fault can't occur at a step; ``None`` if it can."""
     if fault in _BEFORE_ANSWER and step in _BEGUN:
         return Unreachable.ANSWER_BEGUN
     if fault in _DURING_ANSWER and step is Step.REQUEST_ENDED:
--- a/tests/test_loomyard_router/test_fuzz.py
+++ b/tests/test_loomyard_router/test_fuzz.py
@@ -24,7 +24,7 @@
 from loomyard_standins.fake_clock import FakeClock
 from loomyard_standins.faults.fake_call import make_environ, make_model_call, perform
 from loomyard_standins.faults.fake_fleet import FakeFleet
-from loomyard_standins.faults.sightings import CallerSaw, Ending
+from loomyard_standins.faults.sightings import CallRecord, Ending
 
 PROFILE = settings(
     derandomize=True,
@@ -149,26 +149,26 @@
         cls.fleet = FakeFleet(routers=1)
         cls.addClassCleanup(cls.fleet.close)
 
-    def call(self, environ: dict) -> CallerSaw:
+    def call(self, environ: dict) -> CallRecord:
         clock = self.fleet.clock
-        saw = CallerSaw(marker="", account="", router="", expected="", started=clock.now())
-        perform(self.fleet.routers["router-0"].server.call, environ, saw, clock)
-        self.assertIs(saw.ending, Ending.WHOLE)
-        return saw
+        record = CallRecord(marker="", account="", router="", expected="", started=clock.now())
+        perform(self.fleet.routers["router-0"].server.call, environ, record, clock)
+        self.assertIs(record.ending, Ending.WHOLE)
+        return record
 
     @PROFILE
     @given(PATHS, HEADERS, st.binary(max_size=100) | JSON_BODIES)
     def test_requests(self, path: str, headers: dict[str, str], body: bytes) -> None:
         environ = make_environ("kiosk", path, body) | headers
         environ["wsgi.input"] = io.BytesIO(body)
-        saw = self.call(environ)
-        self.assertNotEqual(saw.status, 500)
-        self.assertTrue(200 <= saw.status <= 599)
+        record = self.call(environ)
+        self.assertNotEqual(record.status, 500)
+        self.assertTrue(200 <= record.status <= 599)
 
     def test_valid_requests_still_succeed(self) -> None:
-        saw, environ = make_model_call("kiosk/after", "router-0", self.fleet.clock.now())
-        perform(self.fleet.routers["router-0"].server.call, environ, saw, self.fleet.clock)
-        self.assertEqual((saw.status, saw.ending), (200, Ending.WHOLE))
+        record, environ = make_model_call("kiosk/after", "router-0", self.fleet.clock.now())
+        perform(self.fleet.routers["router-0"].server.call, environ, record, self.fleet.clock)
+        self.assertEqual((record.status, record.ending), (200, Ending.WHOLE))
 
 
 if __name__ == "__main__":
--- a/tests/test_loomyard_standins/test_checkers.py
+++ b/tests/test_loomyard_standins/test_checkers.py
@@ -11,7 +11,7 @@
 from loomyard_standins.faults.answer_fault import AnswerFault
 from loomyard_standins.faults.checkers import CHECKERS, Invariant, check
 from loomyard_standins.faults.fake_fleet import FakeFleet
-from loomyard_standins.faults.sightings import CallerSaw, Run, Sightings
+from loomyard_standins.faults.sightings import CallRecord, Observations, Run
 
 RETRY_SECONDS = 3.0
 
@@ -22,12 +22,12 @@
         self.addCleanup(fleet.close)
         return fleet
 
-    def assert_violated(self, invariant: Invariant, sightings: Sightings) -> None:
-        self.assertEqual({found.invariant for found in check(sightings)}, {invariant})
+    def assert_violated(self, invariant: Invariant, observations: Observations) -> None:
+        self.assertEqual({found.invariant for found in check(observations)}, {invariant})
 
     def assert_fleet_violates(self, invariant: Invariant, fleet: FakeFleet) -> None:
-        fleet.turn()
-        self.assert_violated(invariant, fleet.sightings)
+        fleet.run_loop_passes()
+        self.assert_violated(invariant, fleet.observations)
 
     def test_every_invariant_has_a_checker(self) -> None:
         self.assertEqual(set(CHECKERS), set(Invariant))
@@ -40,8 +40,8 @@
         fleet.publisher.publish_generation()
         fleet.run(0.1)
         fleet.callers.watch_models()
-        self.assertEqual(check(fleet.sightings), [])
-        self.assertEqual(len(fleet.sightings.runs), 3)
+        self.assertEqual(check(fleet.observations), [])
+        self.assertEqual(len(fleet.observations.runs), 3)
 
     def test_whole_answer(self) -> None:
         for bug in (bugs.CrossesAnswers, bugs.DoublesEvents, bugs.DropsEvents):
@@ -69,7 +69,7 @@
 
     def test_leaving(self) -> None:
         fleet = self.fleet()
-        fleet.sightings.leaving = dict.fromkeys(fleet.targets, fleet.clock.now())
+        fleet.observations.leaving = dict.fromkeys(fleet.targets, fleet.clock.now())
         fleet.run(2.1)
         fleet.callers.call_model("kiosk/1", "router-0")
         self.assert_fleet_violates(Invariant.LEAVING, fleet)
@@ -79,7 +79,7 @@
         for engine in fleet.engines:
             engine.hold()
         fleet.callers.call_model("kiosk/1", "router-0")
-        fleet.turn()
+        fleet.run_loop_passes()
         gevent.killall(fleet.routers["router-0"].calls)
         fleet.drain("router-0")
         fleet.run(1.0)
@@ -93,7 +93,7 @@
 
     def test_never_reverts(self) -> None:
         fleet = self.fleet()
-        fleet.cut("router-1")
+        fleet.partition("router-1")
         fleet.publisher.publish_generation()
         fleet.run(0.1)
         fleet.callers.watch_router("router-0")
@@ -104,9 +104,9 @@
 
     def test_in_force(self) -> None:
         fleet = self.fleet()
-        fleet.cut("router-1")
+        fleet.partition("router-1")
         fleet.publisher.publish_generation()
-        fleet.sightings.generations[1] = (fleet.clock.now(), frozenset(fleet.routers))
+        fleet.observations.generations[1] = (fleet.clock.now(), frozenset(fleet.routers))
         fleet.run(3.1)
         fleet.callers.watch_models()
         self.assert_fleet_violates(Invariant.IN_FORCE, fleet)
@@ -122,13 +122,13 @@
         fleet.callers.call_plain("labels/1", "router-1", idempotent=True)
         for engine in fleet.engines:
             engine.release()
-        fleet.turn()
+        fleet.run_loop_passes()
         self.assert_fleet_violates(Invariant.NO_STARVATION, fleet)
 
     def test_bounded_gap(self) -> None:
-        def saw(marker: str) -> CallerSaw:
+        def record(marker: str) -> CallRecord:
             account = marker.partition("/")[0]
-            return CallerSaw(
+            return CallRecord(
                 marker=marker, account=account, router="r", expected="", started=0.0, ended=9.0
             )
 
@@ -136,12 +136,12 @@
             marker = f"genealogy/{number}"
             return Run(target="t", attempt_id="a", marker=marker, at=1.0 + number, tokens=100)
 
-        sightings = Sightings(weights={"genealogy": 1.0, "kiosk": 1.0})
-        sightings.callers = [saw("kiosk/0"), *(saw(f"genealogy/{n}") for n in range(8))]
-        sightings.runs = [run(number) for number in range(3)]
-        self.assertEqual(check(sightings), [])
-        sightings.runs = [run(number) for number in range(8)]
-        self.assert_violated(Invariant.BOUNDED_GAP, sightings)
+        observations = Observations(weights={"genealogy": 1.0, "kiosk": 1.0})
+        observations.calls = [record("kiosk/0"), *(record(f"genealogy/{n}") for n in range(8))]
+        observations.runs = [run(number) for number in range(3)]
+        self.assertEqual(check(observations), [])
+        observations.runs = [run(number) for number in range(8)]
+        self.assert_violated(Invariant.BOUNDED_GAP, observations)
 
     def test_ends(self) -> None:
         fleet = self.fleet()
@@ -160,7 +160,7 @@
 
     def test_agreed(self) -> None:
         fleet = self.fleet()
-        fleet.cut("router-1")
+        fleet.partition("router-1")
         fleet.publisher.publish_race()
         fleet.run(0.1)
         fleet.callers.watch_models(final=True)
@@ -182,7 +182,7 @@
             for fencing in (7, 5):
                 engine.order(EngineOrder(action="load", subject="m", fencing=fencing))
             if checks:
-                self.assertEqual(check(fleet.sightings), [])
+                self.assertEqual(check(fleet.observations), [])
             else:
                 self.assert_fleet_violates(Invariant.FENCED, fleet)
 
--- a/tests/test_loomyard_standins/test_fault_sequences.py
+++ b/tests/test_loomyard_standins/test_fault_sequences.py
@@ -11,11 +11,11 @@
 from loomyard_standins.faults import planted_bugs as bugs
 from loomyard_standins.faults.checkers import Invariant
 from loomyard_standins.faults.fault_kind import FaultKind
-from loomyard_standins.faults.happening import POINTS, ROUTERS, SECONDS, Happening, draw_sequence
+from loomyard_standins.faults.happening import POINTS, ROUTERS, SECONDS, FaultEvent, draw_sequence
 from loomyard_standins.faults.sequences import run_sequence
 
-HAPPENINGS = st.builds(
-    Happening,
+EVENTS = st.builds(
+    FaultEvent,
     fault=st.sampled_from([*FaultKind, None]),
     victim=st.integers(0, ROUTERS - 1),
     point=st.sampled_from(POINTS),
@@ -45,9 +45,9 @@
 
 class FaultSequencesTest(unittest.TestCase):
     @PROFILE
-    @given(st.lists(HAPPENINGS, min_size=2, max_size=2))
-    def test_pairs(self, happenings: list[Happening]) -> None:
-        self.assertEqual(run_sequence(happenings), [])
+    @given(st.lists(EVENTS, min_size=2, max_size=2))
+    def test_pairs(self, events: list[FaultEvent]) -> None:
+        self.assertEqual(run_sequence(events), [])
 
     def test_sequences_that_failed_once(self) -> None:
         for seed, number in FAILED_ONCE:
@@ -56,7 +56,7 @@
                 self.assertEqual(run_sequence(sequence), [])
 
     def test_a_planted_bug_is_found(self) -> None:
-        nothing = Happening(
+        nothing = FaultEvent(
             fault=FaultKind.WEIGHT_STORE_LIMITED, victim=0, point="", seconds=0.2, heals=True
         )
         found = run_sequence([nothing], wrap_engine=bugs.SendsTwice)
