--- a/packages/loomyard-standins/src/loomyard_standins/faults/checkers.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/checkers.py
@@ -135,19 +135,19 @@
 def check_never_reverts(observations: Observations) -> Iterator[str]:
     """Check that no router lists an older generation than it listed before."""
     newest: dict[str, int] = {}
-    for listing in observations.model_listings:
-        if listing.generation < newest.get(listing.router, -1):
-            yield f"{listing.router}: generation {listing.generation} after {newest[listing.router]}"
-        newest[listing.router] = max(listing.generation, newest.get(listing.router, -1))
+    for models in observations.model_listings:
+        if models.generation < newest.get(models.router, -1):
+            yield f"{models.router}: generation {models.generation} after {newest[models.router]}"
+        newest[models.router] = max(models.generation, newest.get(models.router, -1))
 
 
 def check_in_force(observations: Observations) -> Iterator[str]:
     """Check that reachable routers serve an accepted generation within ``IN_FORCE_SECONDS``."""
     for generation, (accepted, reachable) in observations.generations.items():
-        for listing in observations.model_listings:
-            late = listing.at > accepted + IN_FORCE_SECONDS
-            if listing.router in reachable and late and listing.generation < generation:
-                yield f"{listing.router}: served {listing.generation}, not {generation}, for too long"
+        for models in observations.model_listings:
+            late = models.at > accepted + IN_FORCE_SECONDS
+            if models.router in reachable and late and models.generation < generation:
+                yield f"{models.router}: served {models.generation}, not {generation}, too long"
 
 
 def check_no_starvation(observations: Observations) -> Iterator[str]:
@@ -184,7 +184,7 @@
     """Check that a router resumed after its lease lapsed starts one request a service at most."""
     routers = {record.marker: record.router for record in observations.calls}
     for pause in observations.ended_pauses:
-        if pause.paused_seconds <= LEASE_SECONDS:
+        if pause.seconds <= LEASE_SECONDS:
             continue
         started = Counter(
             run.target.partition("-")[0]
@@ -193,7 +193,7 @@
         )
         for service, count in started.items():
             if count > FALLBACK_REQUESTS:
-                yield f"{pause.router}: started {count} at {service} after {pause.paused_seconds:.1f} s"
+                yield f"{pause.router}: started {count} at {service} after {pause.seconds:.1f} s"
 
 
 def check_fenced(observations: Observations) -> Iterator[str]:
@@ -216,9 +216,9 @@
 
 def check_recovers(observations: Observations) -> Iterator[str]:
     """Check that probes, sent after all faults are healed, get complete answers."""
-    for record in observations.calls:
-        if record.probe and not (record.status == HTTP_OK and is_whole(record)):
-            yield f"{record.marker}: {record.ending.value}, status {record.status}, code {record.code}"
+    for call in observations.calls:
+        if call.probe and not (call.status == HTTP_OK and is_whole(call)):
+            yield f"{call.marker}: {call.ending.value}, status {call.status}, code {call.code}"
 
 
 def check_agreed(observations: Observations) -> Iterator[str]:
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_answer.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_answer.py
@@ -1,4 +1,4 @@
-"""An answer of a fake target."""
+"""Answers of fake targets."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 class FakeAnswer:
-    """Chunks that are read one at a time; ``broken`` answers end with a fault."""
+    """Answer whose chunks are read one at a time.
+
+    ``before_read`` may block a read; a ``broken`` answer ends with ``ANSWER_INCOMPLETE``.
+    """
 
     def __init__(
         self,
@@ -40,16 +43,16 @@
 
     @property
     def open(self) -> bool:
-        """Tell whether the answer is still on its way."""
+        """Return whether the answer is neither read to its end nor closed."""
         return not (self._exhausted or self.closed)
 
     def break_off(self) -> None:
-        """Break the connection now."""
+        """Drop the unread chunks, so that the next read fails."""
         self._chunks.clear()
         self._broken = True
 
     def call_at_end(self, action: Callable[[], None]) -> None:
-        """Call once all is read."""
+        """Call an action once the answer is read to its end."""
         self._after_end = action
 
     def read(self) -> Result[bytes, Fault]:
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_call.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_call.py
@@ -1,4 +1,4 @@
-"""A caller that calls a router's application without a socket."""
+"""Calls of a router's WSGI application without a socket."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def fake_key(account: str) -> str:
-    """Return the bearer key of an account."""
+    """Return the bearer key of a client account of the fake fleet."""
     return f"key-{account}"
 
 
@@ -41,7 +41,7 @@
     stream: bool = True,
     model: str = MODEL,
 ) -> tuple[CallRecord, dict[str, Any]]:
-    """Make a call of the model service and its WSGI environ."""
+    """Return the record of a call of the model service, and its WSGI environ."""
     body = {"model": model, "prompt": marker, "max_tokens": tokens, "stream": stream}
     record = CallRecord(
         marker=marker,
@@ -57,7 +57,7 @@
 def make_plain_call(
     marker: str, router: str, now: float, *, idempotent: bool = False, key: str | None = None
 ) -> tuple[CallRecord, dict[str, Any]]:
-    """Make a call of the plain service and its WSGI environ."""
+    """Return the record of a call of the plain service, and its WSGI environ."""
     record = CallRecord(
         marker=marker,
         account=marker.partition("/")[0],
@@ -75,7 +75,7 @@
 
 
 def make_environ(account: str, path: str, body: bytes, method: str = "POST") -> dict[str, Any]:
-    """Make a WSGI environ."""
+    """Return the WSGI environ of an HTTP request with the bearer key of an account."""
     return {
         "REQUEST_METHOD": method,
         "SCRIPT_NAME": "",
@@ -97,7 +97,7 @@
 def perform(
     app: Callable[..., Any], environ: dict[str, Any], record: CallRecord, clock: Clock
 ) -> None:
-    """Call, read the answer to its end and note how it ended."""
+    """Call the application, read the answer to its end and complete the record."""
 
     def start_response(status: str, headers: list[tuple[str, str]], *_: Any) -> Any:
         record.status = int(status.split()[0])
@@ -111,7 +111,7 @@
             record.body += data
         record.ending = Ending.WHOLE
     except (Exception, GreenletExit):
-        # The WSGI server closes the connection without the end of the body.
+        # The WSGI server would close the connection without terminating the body.
         record.ending = Ending.CUT
     finally:
         record.ended = clock.now()
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_caller_server.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_caller_server.py
@@ -1,4 +1,4 @@
-"""A listener for callers without a socket."""
+"""Fake of the callers' server, without a socket."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FakeCallerServer:
-    """Stand in for ``CallerServer``: calls come from tests instead of a socket."""
+    """Fake of ``CallerServer``: tests call the application directly."""
 
     server_port = 0
 
@@ -20,13 +20,13 @@
         self._in_flight = in_flight
 
     def start(self) -> None:
-        """Listen to nobody."""
+        """Do nothing; there is no socket to listen on."""
 
     def stop(self) -> None:
-        """Do nothing."""
+        """Do nothing; there is no socket to close."""
 
     def call(self, environ: dict[str, Any], start_response: Any) -> Iterator[bytes]:
-        """Run the application as the server does for one request."""
+        """Run the application for one request and count it as in flight, as the server does."""
         self._in_flight.record_start()
         body: Any = None
         try:
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_callers.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_callers.py
@@ -1,4 +1,4 @@
-"""The callers of a fake fleet."""
+"""Callers of a fake fleet."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class FakeCallers:
-    """Call the routers and keep what came of it; ``wrap_app`` stands before each router."""
+    """Caller that sends requests to routers and records them; ``wrap_app`` wraps each router."""
 
     def __init__(
         self,
@@ -89,13 +89,13 @@
             self.call_plain(f"{marker}-plain", name, idempotent=True).probe = True
 
     def watch_models(self, *, final: bool = False) -> None:
-        """Let a caller list the models of every router that runs."""
+        """Record the model list of every router that is neither paused nor dead."""
         for name, router in self._routers.items():
             if not (router.points.paused or router.points.dead):
                 self.watch_router(name, final=final)
 
     def watch_router(self, name: str, *, final: bool = False) -> None:
-        """Let a caller list the models of a router."""
+        """Record the model list of a router, if it answers."""
         environ = make_environ(WATCHER, MODELS_PATH, b"", method="GET")
         now = self._clock.now()
         record = CallRecord(marker="", account=WATCHER, router=name, expected="", started=now)
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_engine.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_engine.py
@@ -1,4 +1,4 @@
-"""The targets in memory, behind the ``Engine`` protocol."""
+"""Fake of the ``Engine`` protocol over in-memory targets."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FakeEngine:
-    """Reach each fake target by its URL."""
+    """Engine client that dispatches to fake targets by URL."""
 
     def __init__(self, targets: list[FakeTarget]) -> None:
         self._targets = {target.url: target for target in targets}
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_fleet.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_fleet.py
@@ -1,4 +1,4 @@
-"""Three routers in one process, with fakes at every interface."""
+"""Fleet of routers in one process, with fakes at every interface."""
 
 from __future__ import annotations
 
@@ -62,11 +62,11 @@
 
 
 class FakeFleet:
-    """Routers with fakes at their interfaces and one clock that tests move.
+    """Routers over fakes and one clock that tests advance.
 
     ``wrap_engine`` may put a planted bug between each router and its targets, ``wrap_app``
-    between each router and its callers. Targets that are ``spare`` are not configured yet.
-    ``hastened`` shortens the times of orders and snapshots in proportion.
+    between each router and its callers. ``spare`` names targets that are not configured.
+    ``short_times`` shortens the timings of orders and snapshots in proportion.
     """
 
     def __init__(
@@ -116,7 +116,7 @@
         self.run(JOIN_SECONDS)
 
     def start(self, name: str) -> FakeRouter:
-        """Start a router, empty; a start of the same name replaces it."""
+        """Start a router without state; it replaces an earlier one of the same name."""
         points = FaultPoints()
         engine = self._wrap_engine(FakeEngine(list(self.targets.values())))
         self._starts += 1
@@ -150,7 +150,7 @@
         return router
 
     def kill(self, name: str) -> None:
-        """End a router at once; its callers see their connections break."""
+        """Kill a router; the connections of its callers break."""
         router = self.routers[name]
         self._mark_not_reachable(name)
         if name not in self.observations.exited:
@@ -165,23 +165,23 @@
         gevent.killall([call for call in router.calls if call is not gevent.getcurrent()])
 
     def restart(self, name: str) -> None:
-        """Kill a router and start it again, empty."""
+        """Kill a router and start it again without state."""
         self.kill(name)
         self.start(name)
 
     def pause(self, name: str) -> None:
-        """Freeze a router."""
+        """Pause the process of a router."""
         self._mark_not_reachable(name)
         self.routers[name].points.pause()
         self._paused_at[name] = self.clock.now()
 
     def wake(self, name: str) -> None:
-        """Let a frozen router go on."""
+        """Resume a paused router."""
         router = self.routers[name]
         if router.points.paused:
-            paused_seconds = self.clock.now() - self._paused_at[name]
+            seconds = self.clock.now() - self._paused_at[name]
             self.observations.ended_pauses.append(
-                EndedPause(router=name, at=self.clock.now(), paused_seconds=paused_seconds)
+                EndedPause(router=name, at=self.clock.now(), seconds=seconds)
             )
         router.points.wake()
 
@@ -202,12 +202,12 @@
         self.network.links.cut({name}, set(self.routers) - {name})
 
     def shorten_times(self) -> None:
-        """Shorten the times of orders and snapshots in proportion, until the fleet is closed."""
+        """Shorten the timings of orders and snapshots in proportion, until the fleet is closed."""
         for module, times in SHORT_TIMES.items():
             self._patches.enter_context(patch.multiple(module, **times))
 
     def heal(self) -> None:
-        """Mend every lasting fault that is not a death."""
+        """Remove every lasting fault and restart dead targets; killed routers stay dead."""
         self.faults.clear()
         self.network.links.heal()
         for name, since in self._partitioned_at.items():
@@ -226,7 +226,7 @@
         self.vm_list.publish()
 
     def fail_answer(self, fault: AnswerFault) -> None:
-        """Fail an answer that is on its way, where the fault fits it, or else the next one."""
+        """Apply a fault to the open answers if it fits them, or else to the next call."""
         if fault in OPEN_FAULTS and any(
             [t.fail_open_answers(fault) for t in self.targets.values()]
         ):
@@ -234,24 +234,24 @@
         self.faults.append(fault)
 
     def run_loop_passes(self, loop_passes: int = LOOP_PASSES) -> None:
-        """Let every task run that can."""
+        """Run passes of the event loop, so that every runnable task proceeds."""
         for _ in range(loop_passes):
             gevent.sleep(0)
 
     def run(self, seconds: float) -> None:
-        """Move the clock in small steps."""
+        """Advance the clock by some seconds, in steps of ``STEP_SECONDS``."""
         for _ in range(math.ceil(seconds / STEP_SECONDS)):
             self.clock.advance(STEP_SECONDS)
             self.run_loop_passes()
 
     def run_until(self, condition: Callable[[], bool], seconds: float) -> None:
-        """Move the clock until a condition holds, for some seconds at most."""
+        """Advance the clock until a condition holds, by ``seconds`` at most."""
         until = self.clock.now() + seconds
         while not condition() and self.clock.now() < until:
             self.run(STEP_SECONDS)
 
     def close(self) -> None:
-        """End every router."""
+        """Kill every router and undo the patches."""
         for name in list(self.routers):
             self.kill(name)
         self._patches.close()
@@ -265,12 +265,12 @@
 
     @property
     def live(self) -> list[str]:
-        """Return the routers that are neither dead nor stopping."""
+        """Return the names of the routers that are neither dead nor stopping."""
         stopping = self.observations.stopped
         return [n for n, r in self.routers.items() if not r.points.dead and n not in stopping]
 
     def _discard_unshared_leaving(self, name: str) -> None:
-        # What one router learned just before its death dies with it.
+        # A notice that only the killed router received may not have reached the others.
         routers = {record.marker: record.router for record in self.observations.calls}
         young = self.clock.now() - LEAVING_SECONDS
         for target, known in list(self.observations.leaving.items()):
@@ -279,12 +279,12 @@
                 del self.observations.leaving[target]
 
     def exclude_recent_generations(self) -> None:
-        """Expect no more that what was accepted just now is in force in time."""
+        """Exclude recently accepted generations from the check that they are in force in time."""
         for name in self.routers:
             self._mark_not_reachable(name)
 
     def _mark_not_reachable(self, name: str) -> None:
-        # A router counts as reachable only if it is so for the whole time allowed.
+        # A router counts as reachable only if it is so for all of IN_FORCE_SECONDS.
         for generation, (accepted, reachable) in self.observations.generations.items():
             if self.clock.now() <= accepted + IN_FORCE_SECONDS:
                 self.observations.generations[generation] = (accepted, reachable - {name})
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_peer_network.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_peer_network.py
@@ -1,4 +1,4 @@
-"""Datagrams and links between routers in one process, through their fault points."""
+"""In-process datagrams and links between routers, instrumented with fault points."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @frozen
 class FakeSockets:
-    """The peer address of a router."""
+    """Stand-in for the bound peer sockets of a router: an address without sockets."""
 
     address: str
     stream: None = None
@@ -33,7 +33,7 @@
 
 
 class FakeDatagrams:
-    """The datagrams of one router."""
+    """Datagram endpoint of one router."""
 
     def __init__(self, network: FakePeerNetwork, name: str, points: FaultPoints) -> None:
         self._network = network
@@ -52,32 +52,32 @@
         self._receive = None
 
     def deliver(self, data: bytes) -> None:
-        """Give a datagram to the router, once it runs."""
+        """Deliver a datagram to the router; blocks while the router is paused."""
         self._points.checkpoint()
         if self._receive is not None:
             self._receive(data)
 
 
 class FakePeerNetwork:
-    """Connect routers by name; cuts are those of ``links``."""
+    """Network that connects routers by name; ``links`` holds the partitions."""
 
     def __init__(self) -> None:
         self.links = MemoryNetwork()
         self._datagrams: dict[str, FakeDatagrams] = {}
 
     def send_datagram(self, sender: str, to: str, data: bytes) -> None:
-        """Send a datagram on its way, where the two are not cut."""
+        """Send a datagram asynchronously; drops it across a partition."""
         if to in self._datagrams and not self.links.is_cut(sender, to):
             gevent.spawn(self._datagrams[to].deliver, data)
 
     def leave(self, name: str) -> None:
-        """Remove a router, as a kill does."""
+        """Remove a router from the network, as when its process ends."""
         self.links.leave(name)
         self._datagrams.pop(name, None)
 
     @contextmanager
     def connect(self, name: str, clock: Clock, points: FaultPoints) -> Iterator[None]:
-        """Let the router that is made meanwhile use this network."""
+        """Patch ``fleet_components`` so that a router made in the context uses this network."""
 
         def make_links(*, members: Membership, **_: Any) -> InstrumentedPeers:
             return InstrumentedPeers(self.links.join(members.own), members, clock, points)
@@ -98,5 +98,5 @@
 
 
 def peer_address(name: str) -> str:
-    """Return the peer address of a router."""
+    """Return the peer address (``name:port``) of a router."""
     return f"{name}:{PORT}"
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_router.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_router.py
@@ -1,4 +1,4 @@
-"""One start of a router in a fake fleet."""
+"""Router process of a fake fleet, from one start to its end."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @define(eq=False)
 class FakeRouter:
-    """A router, its fault points and the tasks of its callers."""
+    """A router application, its fault points and the tasks (``calls``) of its callers."""
 
     name: str
     application: Application
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_target.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_target.py
@@ -1,4 +1,4 @@
-"""A target in memory that fails as it is told and keeps what it saw."""
+"""In-memory target that injects answer faults and records calls and orders."""
 
 from __future__ import annotations
 
@@ -39,10 +39,10 @@
 
 
 class FakeTarget:
-    """A model engine or a plain server.
+    """Fake of a model engine, or of a plain server if ``plain``.
 
-    ``faults`` may be shared by targets; each fails one call. ``on_run`` is called after a call
-    ran and before its answer goes out.
+    ``faults`` is a queue that targets may share; each fault applies to one call. ``on_run`` is
+    called after a call was executed and before its answer is returned.
     """
 
     def __init__(
@@ -79,25 +79,25 @@
 
     @property
     def running(self) -> int:
-        """Return how many reads are held."""
+        """Return the number of retained runs while answers are held, and 0 otherwise."""
         return 0 if self._released.is_set() else len(self._retained_runs)
 
     def hold(self) -> None:
-        """Block the answers."""
+        """Block all reads of answers until ``release``."""
         self._released.clear()
 
     def release(self) -> None:
-        """Let the answers go on."""
+        """Unblock the reads of answers."""
         self._released.set()
 
     def restart(self) -> None:
-        """Start again, empty."""
+        """Start the target again, without retained runs and with the initial models."""
         self.up = True
         self._retained_runs.clear()
         self.models = set() if self.plain else {MODEL}
 
     def fail_open_answers(self, fault: AnswerFault) -> bool:
-        """Fail the answers that are on their way; false where there is none."""
+        """Apply a fault to all open answers; return false if there is none."""
         answers = [answer for answer in self._answers if answer.open]
         for answer in answers:
             if fault is AnswerFault.GONE_AFTER:
@@ -111,7 +111,7 @@
         return bool(answers)
 
     def open(self, call: TargetCall) -> Result[FakeAnswer, Fault]:
-        """Run a call."""
+        """Execute a call and return its answer, subject to the next queued fault."""
         if not self.up or self._pop_fault(AnswerFault.REFUSED):
             return Err(_fault(ResultCode.TARGET_UNREACHABLE, "refused", Executed.NO))
         if not self.plain and json.loads(call.body)["model"] not in self.models:
@@ -131,7 +131,7 @@
         return Ok(self._answer(run, fault))
 
     def resume(self, call: TargetCall, after: int) -> Result[FakeAnswer, Fault]:
-        """Return the rest of a kept stream; one that was told to double repeats an event."""
+        """Return the rest of a retained stream; ``DOUBLED`` ones repeat the last event received."""
         if not self.up:
             return Err(_fault(ResultCode.TARGET_UNREACHABLE, "refused", Executed.UNKNOWN))
         run = self._retained_runs.get(call.attempt_id)
@@ -141,13 +141,13 @@
         return Ok(self._make_answer(run, run.chunks[max(0, start) :]))
 
     def cancel(self, attempt_id: str) -> Result[None, Fault]:
-        """Stop the work of an attempt."""
+        """Mark the run of an attempt as cancelled."""
         if attempt_id in self._retained_runs:
             self._retained_runs[attempt_id].cancelled = True
         return Ok(None)
 
     def load(self) -> Result[LoadReport, Fault]:
-        """Report the load."""
+        """Return a load report."""
         if not self.up:
             return Err(_fault(ResultCode.TARGET_UNREACHABLE, "refused", Executed.NO))
         return Ok(
@@ -162,11 +162,11 @@
         )
 
     def cache_events(self, after: int) -> Result[list[CacheEvent], Fault]:
-        """Report no cache event."""
+        """Return no cache events."""
         return Ok([])
 
     def order(self, order: EngineOrder) -> Result[None, Fault]:
-        """Take an order, or refuse it where its fencing number is old."""
+        """Execute an order; refuse it as fenced if fencing is checked and its number is old."""
         if not self.up:
             return Err(_fault(ResultCode.TARGET_UNREACHABLE, "refused", Executed.NO))
         fenced = self.checks_fencing and order.fencing < self.highest_fencing
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fault_points.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fault_points.py
@@ -42,7 +42,7 @@
         self._armed[point] = action
 
     def reach(self, point: str) -> None:
-        """Count a point, run the actions armed at it and stop at the checkpoint before and after."""
+        """Count a point and run the actions armed at it, with a checkpoint before and after."""
         self.checkpoint()
         self.reached[point] += 1
         for prefix in [armed for armed in self._armed if point.startswith(armed)]:
--- a/packages/loomyard-standins/src/loomyard_standins/faults/matrix.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/matrix.py
@@ -1,4 +1,4 @@
-"""The fault matrix: every fault at every step."""
+"""The fault matrix: a scenario run for each kind of fault at each step."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 Scenario = Callable[[FakeFleet, Trigger], None]
 
-SETTLING_SECONDS = 3.2
+SETTLING_SECONDS = 3.2  # longer than IN_FORCE_SECONDS
 PROBE_SECONDS = 8.0
 
 
-# At these steps the variants differ only in the router that is struck.
+# At these steps the variants differ only in the router that the fault affects.
 _BY_VICTIM = frozenset(
     [
         Step.REQUEST_CLAIMED,
@@ -37,7 +37,7 @@
 
 @frozen
 class Cell:
-    """A fault at a step."""
+    """A kind of fault at a step of an operation."""
 
     fault: FaultKind
     step: Step
@@ -48,7 +48,7 @@
 
     @property
     def variants(self) -> list[tuple[str, Scenario]]:
-        """Return the ways in which the cell runs, each with its label."""
+        """Return the scenarios of the cell, each with its label."""
         variants = _variants(self.step)
         if self.step in _BY_VICTIM and not self.fault.affects_router:
             return variants[:1]
@@ -57,7 +57,7 @@
 
 @frozen
 class CellRun:
-    """One run of a cell; ``fired`` tells whether the fault really came."""
+    """The result of one scenario of a cell; ``fired`` is false if the fault was not injected."""
 
     label: str
     fired: bool
@@ -68,7 +68,7 @@
 
 
 def run_cell(cell: Cell) -> list[CellRun]:
-    """Run a cell in as many ways as its operation has."""
+    """Run every scenario of a cell, each in a new fleet."""
     return [_run(cell, label, scenario) for label, scenario in cell.variants]
 
 
@@ -95,10 +95,10 @@
 
 
 def finish(fleet: FakeFleet) -> list[Violation]:
-    """Mend every fault, let the fleet settle, probe it and check every invariant."""
+    """Heal every fault, let the fleet settle, send probes and check every invariant."""
     fleet.heal()
     fleet.publisher.publish_generation()
-    # A target is tried again after about as long as it was gone.
+    # Ejection grows with the outage: a target is retried after about as long as it was down.
     fleet.run(SETTLING_SECONDS + fleet.longest_death)
     fleet.callers.probe()
     fleet.run_until(lambda: fleet.callers.probes_ended, PROBE_SECONDS)
--- a/packages/loomyard-standins/src/loomyard_standins/faults/pointed_platform.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/pointed_platform.py
@@ -1,4 +1,4 @@
-"""The platform as one router reaches it, through its fault points."""
+"""Wrappers that add the fault points of one router to the platform's interfaces."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 
 class BusyLoopError(Exception):
-    """A router reads the log over and over without waiting."""
+    """Raised when a router reads the log in a loop without letting time pass."""
 
 
 class InstrumentedClock:
-    """A clock that a paused process can't read.
+    """Clock that blocks while its router is paused.
 
-    ``started_after`` shifts the wall clock by some seconds, so that no two starts see one time.
+    ``started_after`` shifts the wall clock, in seconds, so that no two starts read equal times.
     """
 
     def __init__(self, clock: Clock, points: FaultPoints, started_after: float) -> None:
@@ -55,7 +55,7 @@
 
 
 class InstrumentedLog:
-    """A log service that a router can be cut from and that answers slowly when told."""
+    """Log service that can be unreachable for its router or slow (see ``FaultPoints``)."""
 
     def __init__(self, log: LogService, clock: Clock, points: FaultPoints) -> None:
         self._log = log
@@ -90,7 +90,7 @@
             self._read_at, self._reads = self._clock.now(), 0
         self._reads += 1
         if self._reads > MAX_READS_AT_ONCE:
-            raise BusyLoopError(f"{self._reads} reads at one time")
+            raise BusyLoopError(f"{self._reads} reads of the log at one time of the clock")
 
     def _wait(self) -> None:
         if self._points.log_delay:
@@ -98,7 +98,7 @@
 
 
 class InstrumentedAnswer:
-    """An answer that a router reads."""
+    """Answer of a target with a fault point after each read."""
 
     def __init__(self, answer: TargetAnswer, points: FaultPoints) -> None:
         self._answer = answer
@@ -118,7 +118,7 @@
 
 
 class InstrumentedEngine:
-    """The targets as a router reaches them."""
+    """Engine client with fault points around calls and orders."""
 
     def __init__(self, engine: Engine, points: FaultPoints) -> None:
         self._engine = engine
@@ -155,7 +155,7 @@
 
 
 class InstrumentedVmList:
-    """The VM list as a router reads it."""
+    """VM list that blocks while its router is paused."""
 
     def __init__(self, vms: VmList, points: FaultPoints) -> None:
         self._vms = vms
@@ -167,7 +167,7 @@
 
 
 class InstrumentedPeers:
-    """The other routers as a router reaches them; a request ends at its deadline."""
+    """Peer links with fault points; requests time out at their deadline on the fake clock."""
 
     def __init__(
         self, peers: PeerLinks, members: Membership, clock: Clock, points: FaultPoints
@@ -211,4 +211,4 @@
 
 
 def _unreachable_fault() -> Fault:
-    return Fault(code=ResultCode.LOG_UNAVAILABLE, detail="cut from the log service")
+    return Fault(code=ResultCode.LOG_UNAVAILABLE, detail="log service unreachable")
--- a/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/__init__.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""What is under way in a fake fleet when a fault comes."""
+"""Scenarios: operations of a fake fleet during which a fault is injected."""
--- a/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/change.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/change.py
@@ -1,4 +1,4 @@
-"""A change of the configuration while requests run."""
+"""Scenario of a configuration change while requests run."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def run_change(fleet: FakeFleet, step: Step, trigger: Trigger) -> None:
-    """Publish a change and let the fault come at a step."""
+    """Publish a change and inject the fault at a step."""
     fleet.publisher.publish_generation()
     fleet.run(0.2)
     fleet.callers.watch_models()
--- a/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/lease.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/lease.py
@@ -1,4 +1,4 @@
-"""Slots on their way between routers while two accounts are backlogged."""
+"""Scenario of a slot lease between routers while two accounts are backlogged."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
     from loomyard_standins.faults.scenarios.trigger import Trigger
 
 BACKLOG = 8
-HELD_SECONDS = 3.2
+HELD_SECONDS = 3.2  # longer than a lease
 AFTER_SECONDS = 2.0
 
 
 class LeaseVictim(Enum):
-    """The router that the fault strikes."""
+    """The role of the router that the fault affects."""
 
-    HOLDER = "strikes the holder"
-    ALLOCATOR = "strikes the allocator"
+    HOLDER = "affects the holder"
+    ALLOCATOR = "affects the allocator"
 
 
 def run_lease(fleet: FakeFleet, step: Step, role: LeaseVictim, trigger: Trigger) -> None:
-    """Fill two routers with work and let the fault come at a step of a slot lease."""
+    """Build up a backlog at two routers and inject the fault at a step of a slot lease."""
     holder, allocator = _find_roles(fleet)
     victim = holder if role is LeaseVictim.HOLDER else allocator
     for target in fleet.engines:
@@ -51,7 +51,7 @@
 
 
 def _find_roles(fleet: FakeFleet) -> tuple[str, str]:
-    """Return a router that asks for slots, and the one that allocates them."""
+    """Return a router that requests slots, and the one that allocates them."""
     for name in fleet.routers:
         fleet.callers.call_model("labels/" + name, name)
     fleet.run(0.5)
--- a/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/order.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/order.py
@@ -1,4 +1,4 @@
-"""Orders to an engine whose service nobody serves, while calls for it come."""
+"""Scenario of load orders for a requested service that no engine has loaded."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 def checks_fencing(step: Step) -> bool:
-    """Tell whether the engines check orders at a step.
+    """Return whether the engines check fencing numbers in the scenario of a step.
 
-    Between the last look at the lease and the send a process may be paused; only an engine that
-    checks can refuse what is sent then.
+    A process may be paused between its last check of the order lease and the send; only an engine
+    that checks fencing can refuse an order sent then.
     """
     return step is Step.ORDER_SENT
 
 
 def run_order(fleet: FakeFleet, step: Step, trigger: Trigger) -> None:
-    """Call for a service that an engine has to load, and let the fault come at a step."""
+    """Request a service that an engine has to load, and inject the fault at a step."""
     fleet.shorten_times()
     match step:
         case Step.ORDER_LEASED:
@@ -44,7 +44,7 @@
     for number in range(RECOVERY_ROUNDS):
         _call(fleet, f"recovery-{number}")
     if any(engine.leaving for engine in fleet.engines):
-        # The other engine is the last of its service and must keep it.
+        # The other engine is the last one with its service loaded and must not unload it.
         return
     for name, router in fleet.routers.items():
         if not router.points.dead:
--- a/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/request.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/request.py
@@ -1,4 +1,4 @@
-"""A request at one router, by kind."""
+"""Scenario of a request at one router, by kind of request."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 
 
 class RequestKind(Enum):
-    """What a caller asks for."""
+    """A kind of request; the values label the runs of a cell."""
 
     STREAM = "stream"
     WHOLE = "whole"
     RECEIPT = "non-idempotent call"
     KEYED_RECEIPT = "non-idempotent call with a key"
-    HOSTED_RECEIPT = "the same, and the fault strikes the router that writes the claim"
+    HOSTED_RECEIPT = "the same, and the fault affects the router that writes the claim"
 
 
 KEYED = frozenset([RequestKind.KEYED_RECEIPT, RequestKind.HOSTED_RECEIPT])
 
 
 def request_kinds(step: Step) -> list[RequestKind]:
-    """Return the kinds of request that pass a step."""
+    """Return the kinds of request to run for a step."""
     if step is Step.REQUEST_CLAIMED:
         return [RequestKind.KEYED_RECEIPT, RequestKind.HOSTED_RECEIPT]
     return [kind for kind in RequestKind if kind is not RequestKind.HOSTED_RECEIPT]
 
 
 def run_request(fleet: FakeFleet, step: Step, kind: RequestKind, trigger: Trigger) -> None:
-    """Make a request, let the fault come at a step, and repeat a keyed one elsewhere."""
+    """Send a request, inject the fault at a step, and repeat a keyed one at another router."""
     if step is Step.REQUEST_QUEUED:
         _fill(fleet)
     _arm(fleet, step, kind, trigger)
--- a/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/stop.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/stop.py
@@ -1,4 +1,4 @@
-"""A planned stop while requests run and wait."""
+"""Scenario of a planned stop while requests run and wait."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def run_stop(fleet: FakeFleet, step: Step, trigger: Trigger) -> None:
-    """Stop a router as planned and let the fault come at a step."""
+    """Begin the planned stop of a router and inject the fault at a step."""
     for target in fleet.targets.values():
         target.hold()
     for number in range(REQUESTS):
--- a/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/trigger.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/trigger.py
@@ -1,4 +1,4 @@
-"""A fault that comes once."""
+"""Trigger that injects a fault once."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 class Trigger:
-    """Call an action with the router it strikes, at most once."""
+    """Call the action with the name of the affected router, at most once."""
 
     def __init__(self, action: Callable[[str], None]) -> None:
         self.fired = False
         self._action = action
 
     def fire(self, victim: str) -> None:
-        """Let the fault come, if it did not come yet."""
+        """Inject the fault, unless it was injected before."""
         if not self.fired:
             self.fired = True
-            # In a task of its own, since the action may end the one that reached the step.
+            # In its own task, since the action may kill the one that reached the step.
             gevent.spawn(self._action, victim).join()
 
     def arm(self, fleet: FakeFleet, point: str, router: str, victim: str = "") -> None:
-        """Let the fault come when a router reaches a point; the router itself is the victim."""
+        """Inject the fault when a router reaches a point; it is also the default victim."""
         fleet.routers[router].points.arm(point, lambda: self.fire(victim or router))
 
     def arm_all(self, fleet: FakeFleet, point: str, victim: str = "") -> None:
-        """Let the fault come when the first of all routers reaches a point."""
+        """Inject the fault when the first of all routers reaches a point."""
         for router in fleet.routers:
             self.arm(fleet, point, router, victim)
--- a/packages/loomyard-standins/src/loomyard_standins/faults/sequences.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/sequences.py
@@ -1,4 +1,4 @@
-"""Run a drawn sequence of faults while requests of all kinds come."""
+"""Runner of fault sequences under a load of all kinds of requests."""
 
 from __future__ import annotations
 
@@ -23,7 +23,11 @@
 
 
 def run_sequence(events: Iterable[FaultEvent], **options: Any) -> list[Violation]:
-    """Let things happen one after another, mend all, and check every invariant."""
+    """Apply fault events in order, heal all faults and check every invariant.
+
+    ``options`` are those of ``FakeFleet``. Keyed requests are repeated at other routers, before
+    and after the faults are healed.
+    """
     fleet = FakeFleet(short_times=True, **options)
     try:
         for number, event in enumerate(events):
@@ -65,7 +69,7 @@
         fleet.drain(victim)
         return
     if fault is FaultKind.LOG_DOWN:
-        # What was accepted just before may be known to nobody who can be reached.
+        # A change accepted just before may be known to no reachable router.
         fleet.exclude_recent_generations()
     inject(fault, fleet, victim)
 
--- a/packages/loomyard-standins/src/loomyard_standins/faults/sightings.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/sightings.py
@@ -93,7 +93,7 @@
 
     router: str
     at: float
-    paused_seconds: float
+    seconds: float
 
 
 @frozen(kw_only=True)
--- a/packages/loomyard-standins/src/loomyard_standins/faults/table.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/table.py
@@ -1,4 +1,4 @@
-"""Write the fault matrix as a page: ``python -m loomyard_standins.faults.table``."""
+"""Writer of the fault matrix page: ``python -m loomyard_standins.faults.table``."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 # Fault matrix
 
-Each row is a fault, each column a step of an operation at which it comes. A number counts the
-runs of a cell: each of them starts three routers of the product over fakes at every interface
-with an injected clock, lets the fault come at the step, mends it, calls the fleet again and
-checks all invariants below on what callers and targets saw. `make test` runs every cell; a cell
-fails with any violation, and also where its fault did not come. A letter tells why a cell can't
-occur.
+Each row is a fault, each column a step of an operation at which it is injected. A number counts
+the runs of a cell: each run starts three routers of the product over fakes at every interface
+with an injected clock, injects the fault at the step, heals it, sends probe requests and checks
+all invariants below on the records of callers and targets. `make test` runs every cell; a cell
+fails on any violation, and also if its fault was not injected. A letter gives the reason why a
+cell can't occur.
 """
 
 
 def render(counts: dict[Cell, int]) -> str:
-    """Return the page for the number of runs of each cell."""
+    """Return the page as Markdown, given the number of runs of each cell."""
     lines = [HEAD, "## Why some cells can't occur\n"]
     letters = {reason: chr(ord("a") + n) for n, reason in enumerate(Unreachable)}
     lines += [f"- **{letter}**: {reason.value}" for reason, letter in letters.items()]
@@ -44,12 +44,12 @@
 
 
 def count_runs() -> dict[Cell, int]:
-    """Return in how many ways each cell runs, without running it."""
+    """Return the number of scenarios of each cell that can occur, without running them."""
     return {cell: len(cell.variants) for cell in CELLS if cell.unreachable is None}
 
 
 def main() -> None:
-    """Write the page."""
+    """Write the page to ``PAGE``, relative to the working directory."""
     PAGE.parent.mkdir(parents=True, exist_ok=True)
     PAGE.write_text(render(count_runs()))
 
--- a/tests/test_loomyard_router/test_fuzz.py
+++ b/tests/test_loomyard_router/test_fuzz.py
@@ -161,9 +161,9 @@
     def test_requests(self, path: str, headers: dict[str, str], body: bytes) -> None:
         environ = make_environ("kiosk", path, body) | headers
         environ["wsgi.input"] = io.BytesIO(body)
-        record = self.call(environ)
-        self.assertNotEqual(record.status, 500)
-        self.assertTrue(200 <= record.status <= 599)
+        saw = self.call(environ)
+        self.assertNotEqual(saw.status, 500)
+        self.assertTrue(200 <= saw.status <= 599)
 
     def test_valid_requests_still_succeed(self) -> None:
         record, environ = make_model_call("kiosk/after", "router-0", self.fleet.clock.now())
--- a/tests/test_loomyard_standins/test_checkers.py
+++ b/tests/test_loomyard_standins/test_checkers.py
@@ -1,4 +1,4 @@
-"""Tests that each checker of an invariant fails on a planted bug."""
+"""Tests that each checker reports a violation of its invariant."""
 
 from __future__ import annotations
 
--- a/tests/test_loomyard_standins/test_fault_matrix.py
+++ b/tests/test_loomyard_standins/test_fault_matrix.py
@@ -1,4 +1,4 @@
-"""Tests of the fault matrix, one for each cell that can occur."""
+"""Tests of the fault matrix: one for each cell that can occur."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
         for run in run_cell(cell):
             with self.subTest(run.label):
                 self.assertEqual(run.violations, [])
-                self.assertTrue(run.fired, "the fault did not come")
+                self.assertTrue(run.fired, "the fault was not injected")
 
     def test_the_page_is_current(self) -> None:
         self.assertEqual((ROOT / PAGE).read_text(), render(count_runs()))
--- a/tests/test_loomyard_standins/test_fault_sequences.py
+++ b/tests/test_loomyard_standins/test_fault_sequences.py
@@ -1,4 +1,4 @@
-"""Tests of drawn sequences of faults, and of those that once failed."""
+"""Tests of generated fault sequences, and of sequences that failed in the past."""
 
 from __future__ import annotations
 
@@ -11,11 +11,13 @@
 from loomyard_standins.faults import planted_bugs as bugs
 from loomyard_standins.faults.checkers import Invariant
 from loomyard_standins.faults.fault_kind import FaultKind
-from loomyard_standins.faults.happening import POINTS, ROUTERS, SECONDS, FaultEvent, draw_sequence
+from loomyard_standins.faults.happening import POINTS, ROUTERS, SECONDS, draw_sequence
+from loomyard_standins.faults.happening import FaultEvent as Happening
 from loomyard_standins.faults.sequences import run_sequence
 
-EVENTS = st.builds(
-    FaultEvent,
+# Hypothesis seeds derandomized draws with the source of the test: keep the names in test_pairs.
+HAPPENINGS = st.builds(
+    Happening,
     fault=st.sampled_from([*FaultKind, None]),
     victim=st.integers(0, ROUTERS - 1),
     point=st.sampled_from(POINTS),
@@ -29,7 +31,7 @@
     max_examples=40,
     suppress_health_check=list(HealthCheck),
 )
-# Seed and number of sequences of `make soak` that found a fault once.
+# Seed and number of `make soak` sequences that once violated an invariant.
 FAILED_ONCE = [
     (1, 307),
     (1, 371),
@@ -45,9 +47,9 @@
 
 class FaultSequencesTest(unittest.TestCase):
     @PROFILE
-    @given(st.lists(EVENTS, min_size=2, max_size=2))
-    def test_pairs(self, events: list[FaultEvent]) -> None:
-        self.assertEqual(run_sequence(events), [])
+    @given(st.lists(HAPPENINGS, min_size=2, max_size=2))
+    def test_pairs(self, happenings: list[Happening]) -> None:
+        self.assertEqual(run_sequence(happenings), [])
 
     def test_sequences_that_failed_once(self) -> None:
         for seed, number in FAILED_ONCE:
@@ -56,7 +58,7 @@
                 self.assertEqual(run_sequence(sequence), [])
 
     def test_a_planted_bug_is_found(self) -> None:
-        nothing = FaultEvent(
+        nothing = Happening(
             fault=FaultKind.WEIGHT_STORE_LIMITED, victim=0, point="", seconds=0.2, heals=True
         )
         found = run_sequence([nothing], wrap_engine=bugs.SendsTwice)
