--- a/packages/loomyard-standins/src/loomyard_standins/faults/answer_text.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/answer_text.py
@@ -5,10 +5,10 @@
 import json
 from typing import TYPE_CHECKING
 
-from loomyard_standins.faults.sightings import Ending
+from loomyard_standins.faults.observations import Ending
 
 if TYPE_CHECKING:
-    from loomyard_standins.faults.sightings import CallRecord
+    from loomyard_standins.faults.observations import CallRecord
 
 DONE = b"data: [DONE]"
 DATA = b"data: "
--- a/packages/loomyard-standins/src/loomyard_standins/faults/checkers.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/checkers.py
@@ -10,12 +10,12 @@
 from attrs import frozen
 
 from loomyard_standins.faults.answer_text import answer_text, is_whole
-from loomyard_standins.faults.sightings import Ending
+from loomyard_standins.faults.observations import Ending
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-    from loomyard_standins.faults.sightings import CallRecord, Observations, Run
+    from loomyard_standins.faults.observations import CallRecord, Observations, Run
 
 LEAVING_SECONDS = 2.0  # time for all routers to learn that a target is leaving
 IN_FORCE_SECONDS = 3.0  # time for all routers to apply an accepted configuration
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_call.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_call.py
@@ -10,7 +10,7 @@
 
 from loomyard_standins.faults.fake_target import MODEL
 from loomyard_standins.faults.generated import expected_text, plain_body
-from loomyard_standins.faults.sightings import CallRecord, Ending
+from loomyard_standins.faults.observations import CallRecord, Ending
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_callers.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_callers.py
@@ -17,14 +17,14 @@
     perform,
 )
 from loomyard_standins.faults.fake_publisher import GENERATION_PREFIX
-from loomyard_standins.faults.sightings import CallRecord, Ending, ModelListing
+from loomyard_standins.faults.observations import CallRecord, Ending, ModelListing
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
     from loomyard.clock import Clock
     from loomyard_standins.faults.fake_router import FakeRouter
-    from loomyard_standins.faults.sightings import Observations
+    from loomyard_standins.faults.observations import Observations
 
     App = Callable[..., Any]
 
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_fleet.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_fleet.py
@@ -27,19 +27,19 @@
 from loomyard_standins.faults.fake_target import FakeTarget
 from loomyard_standins.faults.fault_points import FaultPoints, RouterKilled
 from loomyard_standins.faults.fleet_objects import make_objects
-from loomyard_standins.faults.hastened_times import SHORT_RETENTION_SECONDS, SHORT_TIMES
-from loomyard_standins.faults.pointed_platform import (
+from loomyard_standins.faults.instrumented_platform import (
     InstrumentedClock,
     InstrumentedEngine,
     InstrumentedLog,
     InstrumentedVmList,
 )
-from loomyard_standins.faults.seeded_random import SeededRandom
-from loomyard_standins.faults.sightings import (
+from loomyard_standins.faults.observations import (
     EndedPause,
     Observations,
     Partition,
 )
+from loomyard_standins.faults.seeded_random import SeededRandom
+from loomyard_standins.faults.short_times import SHORT_RETENTION_SECONDS, SHORT_TIMES
 from loomyard_standins.log_service import MemoryLog
 from loomyard_standins.vm_list import MemoryVmList
 from loomyard_standins.weight_store import LimitedWeightStore
@@ -94,7 +94,7 @@
         self.records = [self._make_target(f"records-{n}", plain=True) for n in range(2)]
         self.targets = {target.name: target for target in [*self.engines, *self.records]}
         self.routers: dict[str, FakeRouter] = {}
-        self.longest_death = 0.0
+        self.longest_outage = 0.0
         self._patches = ExitStack()
         self._wrap_engine = wrap_engine
         self._policy = policy
@@ -221,7 +221,7 @@
         for target in self.targets.values():
             target.release()
             if not target.up:
-                self.longest_death = max(self.longest_death, self.clock.now() - target.died_at)
+                self.longest_outage = max(self.longest_outage, self.clock.now() - target.died_at)
                 target.restart()
         self.vm_list.publish()
 
@@ -272,10 +272,10 @@
     def _discard_unshared_leaving(self, name: str) -> None:
         # A notice that only the killed router received may not have reached the others.
         routers = {record.marker: record.router for record in self.observations.calls}
-        young = self.clock.now() - LEAVING_SECONDS
+        recent_since = self.clock.now() - LEAVING_SECONDS
         for target, known in list(self.observations.leaving.items()):
             refused = [r for r in self.observations.runs if r.target == target and r.refused]
-            if known >= young and refused and routers.get(refused[0].marker) == name:
+            if known >= recent_since and refused and routers.get(refused[0].marker) == name:
                 del self.observations.leaving[target]
 
     def exclude_recent_generations(self) -> None:
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_peer_network.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_peer_network.py
@@ -10,7 +10,7 @@
 from attrs import frozen
 
 from loomyard_router import fleet_components
-from loomyard_standins.faults.pointed_platform import InstrumentedPeers
+from loomyard_standins.faults.instrumented_platform import InstrumentedPeers
 from loomyard_standins.memory_network import MemoryNetwork
 
 if TYPE_CHECKING:
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_publisher.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_publisher.py
@@ -18,11 +18,11 @@
 
     from loomyard.clock import Clock
     from loomyard_standins.faults.fake_router import FakeRouter
-    from loomyard_standins.faults.sightings import Observations
+    from loomyard_standins.faults.observations import Observations
     from loomyard_standins.log_service import MemoryLog
 
 GENERATION_PREFIX = "generation-"
-RECENT_SECONDS = 4.0  # changes this young may be in no snapshot yet
+RECENT_SECONDS = 4.0  # younger changes may be in no snapshot yet
 
 
 class FakePublisher:
@@ -103,5 +103,5 @@
         return isinstance(appended, Ok)
 
     def _trim_offset(self) -> int:
-        young = self._clock.now() - RECENT_SECONDS
-        return max((end for at, end in self._end_offsets if at <= young), default=0)
+        recent_since = self._clock.now() - RECENT_SECONDS
+        return max((end for at, end in self._end_offsets if at <= recent_since), default=0)
--- a/packages/loomyard-standins/src/loomyard_standins/faults/fake_target.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/fake_target.py
@@ -13,14 +13,14 @@
 from loomyard_standins.faults.answer_fault import AnswerFault
 from loomyard_standins.faults.fake_answer import FakeAnswer
 from loomyard_standins.faults.generated import generate, generate_plain
-from loomyard_standins.faults.sightings import OrderRecord, Run
+from loomyard_standins.faults.observations import OrderRecord, Run
 
 if TYPE_CHECKING:
     from collections import deque
     from collections.abc import Callable
 
     from loomyard.clock import Clock
-    from loomyard_standins.faults.sightings import Observations
+    from loomyard_standins.faults.observations import Observations
 
 MODEL = "assistant"
 LATE_SECONDS = 1.0
@@ -127,7 +127,7 @@
             run.broken = True
             if fault is AnswerFault.GONE_BEFORE:
                 self._die()
-            return Err(_fault(ResultCode.ANSWER_LOST, "no answer came", Executed.UNKNOWN))
+            return Err(_fault(ResultCode.ANSWER_LOST, "the answer was lost", Executed.UNKNOWN))
         return Ok(self._answer(run, fault))
 
     def resume(self, call: TargetCall, after: int) -> Result[FakeAnswer, Fault]:
@@ -136,7 +136,7 @@
             return Err(_fault(ResultCode.TARGET_UNREACHABLE, "refused", Executed.UNKNOWN))
         run = self._retained_runs.get(call.attempt_id)
         if run is None:
-            return Err(_fault(ResultCode.STREAM_GONE, "not kept", Executed.UNKNOWN))
+            return Err(_fault(ResultCode.STREAM_GONE, "stream not retained", Executed.UNKNOWN))
         start = after if run.attempt_id in self._repeating else after + 1
         return Ok(self._make_answer(run, run.chunks[max(0, start) :]))
 
@@ -194,7 +194,7 @@
         elif lost is not None:
             if lost is AnswerFault.GONE_BEFORE:
                 self._die()
-            return Err(_fault(ResultCode.ANSWER_LOST, "no answer came", Executed.UNKNOWN))
+            return Err(_fault(ResultCode.ANSWER_LOST, "the answer was lost", Executed.UNKNOWN))
         return Ok(None)
 
     def _run(self, call: TargetCall) -> Run:
@@ -229,15 +229,15 @@
             run.broken = True
             return self._make_answer(run, half)
         if fault not in BROKEN:
-            gone = fault is AnswerFault.GONE_AFTER
-            return self._make_answer(run, chunks, after_end=self._die if gone else None)
+            dies = fault is AnswerFault.GONE_AFTER
+            return self._make_answer(run, chunks, after_end=self._die if dies else None)
         if fault is AnswerFault.DOUBLED:
             self._repeating.add(run.attempt_id)
         if fault is AnswerFault.HALF_FORGOTTEN:
             del self._retained_runs[run.attempt_id]
-        gone = fault is AnswerFault.GONE_DURING
+        dies = fault is AnswerFault.GONE_DURING
         run.broken = True
-        return self._make_answer(run, half, broken=True, after_end=self._die if gone else None)
+        return self._make_answer(run, half, broken=True, after_end=self._die if dies else None)
 
     def _make_answer(
         self,
--- a/packages/loomyard-standins/src/loomyard_standins/faults/matrix.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/matrix.py
@@ -99,7 +99,7 @@
     fleet.heal()
     fleet.publisher.publish_generation()
     # Ejection grows with the outage: a target is retried after about as long as it was down.
-    fleet.run(SETTLING_SECONDS + fleet.longest_death)
+    fleet.run(SETTLING_SECONDS + fleet.longest_outage)
     fleet.callers.probe()
     fleet.run_until(lambda: fleet.callers.probes_ended, PROBE_SECONDS)
     fleet.callers.watch_models(final=True)
--- a/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/request.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/scenarios/request.py
@@ -12,8 +12,8 @@
     from collections.abc import Callable
 
     from loomyard_standins.faults.fake_fleet import FakeFleet
+    from loomyard_standins.faults.observations import CallRecord
     from loomyard_standins.faults.scenarios.trigger import Trigger
-    from loomyard_standins.faults.sightings import CallRecord
 
 KEY = "8e03978e-40d5-43e8-bc93-6894a57f9324"
 FILLERS = 8
--- a/packages/loomyard-standins/src/loomyard_standins/faults/sequences.py
+++ b/packages/loomyard-standins/src/loomyard_standins/faults/sequences.py
@@ -6,8 +6,8 @@
 
 from loomyard_standins.faults.checkers import check
 from loomyard_standins.faults.fake_fleet import FakeFleet
+from loomyard_standins.faults.fault_event import NOW
 from loomyard_standins.faults.fault_kind import FaultKind
-from loomyard_standins.faults.happening import NOW
 from loomyard_standins.faults.injection import inject
 from loomyard_standins.faults.matrix import finish
 
@@ -15,11 +15,11 @@
     from collections.abc import Iterable
 
     from loomyard_standins.faults.checkers import Violation
-    from loomyard_standins.faults.happening import FaultEvent
+    from loomyard_standins.faults.fault_event import FaultEvent
 
 SOON = 0.2
 END_SECONDS = 30.0
-DEATHS = frozenset([FaultKind.ROUTER_KILLED, None])
+ROUTER_LOSSES = frozenset([FaultKind.ROUTER_KILLED, None])
 
 
 def run_sequence(events: Iterable[FaultEvent], **options: Any) -> list[Violation]:
@@ -63,7 +63,7 @@
 
 def _inject(fleet: FakeFleet, event: FaultEvent, victim: str) -> None:
     fault = event.fault
-    if fault in DEATHS and len(fleet.live) < 2:
+    if fault in ROUTER_LOSSES and len(fleet.live) < 2:
         fault = FaultKind.ROUTER_RESTARTED
     if fault is None:
         fleet.drain(victim)
--- a/packages/loomyard-standins/src/loomyard_standins/soak.py
+++ b/packages/loomyard-standins/src/loomyard_standins/soak.py
@@ -15,7 +15,7 @@
 
 from gevent import subprocess  # noqa: E402
 
-from loomyard_standins.faults.happening import draw_sequence  # noqa: E402
+from loomyard_standins.faults.fault_event import draw_sequence  # noqa: E402
 from loomyard_standins.faults.sequences import run_sequence  # noqa: E402
 
 SEQUENCES = 2000
--- a/tests/test_loomyard_router/test_fuzz.py
+++ b/tests/test_loomyard_router/test_fuzz.py
@@ -24,7 +24,7 @@
 from loomyard_standins.fake_clock import FakeClock
 from loomyard_standins.faults.fake_call import make_environ, make_model_call, perform
 from loomyard_standins.faults.fake_fleet import FakeFleet
-from loomyard_standins.faults.sightings import CallRecord, Ending
+from loomyard_standins.faults.observations import CallRecord, Ending
 
 PROFILE = settings(
     derandomize=True,
--- a/tests/test_loomyard_router/test_queued_requests.py
+++ b/tests/test_loomyard_router/test_queued_requests.py
@@ -9,7 +9,7 @@
 from loomyard.objects import TargetState
 from loomyard_standins.faults.fake_fleet import FakeFleet
 from loomyard_standins.faults.fleet_objects import make_target_object
-from loomyard_standins.faults.sightings import CallRecord, Ending
+from loomyard_standins.faults.observations import CallRecord, Ending
 
 FILLERS = 12
 
--- a/tests/test_loomyard_standins/test_checkers.py
+++ b/tests/test_loomyard_standins/test_checkers.py
@@ -11,7 +11,7 @@
 from loomyard_standins.faults.answer_fault import AnswerFault
 from loomyard_standins.faults.checkers import CHECKERS, Invariant, check
 from loomyard_standins.faults.fake_fleet import FakeFleet
-from loomyard_standins.faults.sightings import CallRecord, Observations, Run
+from loomyard_standins.faults.observations import CallRecord, Observations, Run
 
 RETRY_SECONDS = 3.0
 
--- a/tests/test_loomyard_standins/test_fault_sequences.py
+++ b/tests/test_loomyard_standins/test_fault_sequences.py
@@ -10,9 +10,9 @@
 
 from loomyard_standins.faults import planted_bugs as bugs
 from loomyard_standins.faults.checkers import Invariant
+from loomyard_standins.faults.fault_event import POINTS, ROUTERS, SECONDS, draw_sequence
+from loomyard_standins.faults.fault_event import FaultEvent as Happening
 from loomyard_standins.faults.fault_kind import FaultKind
-from loomyard_standins.faults.happening import POINTS, ROUTERS, SECONDS, draw_sequence
-from loomyard_standins.faults.happening import FaultEvent as Happening
 from loomyard_standins.faults.sequences import run_sequence
 
 # Hypothesis seeds derandomized draws with the source of the test: keep the names in test_pairs.
