--- a/packages/loomyard-standins/src/loomyard_standins/benches/orders.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/orders.py
@@ -47,7 +47,7 @@
         keeper.stop()
         second = _await_service(fleet.routers, SERVICES[1])
     finally:
-        orders = [[_describe(order) for order in engine.orders.taken] for engine in engines]
+        orders = [[_describe(order) for order in engine.orders.applied] for engine in engines]
         fleet.stop()
     figures = {"first": first, "after_keeper_stopped": second, "orders": orders}
     print(json.dumps({"bench": "orders", **figures}))
--- a/packages/loomyard-standins/src/loomyard_standins/closing_server.py
+++ b/packages/loomyard-standins/src/loomyard_standins/closing_server.py
@@ -1,4 +1,4 @@
-"""A WSGI server whose stop ends its connections."""
+"""WSGI server that closes its open connections when it stops."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 
 
 class ClosingServer(NoDelayServer):
-    """End kept connections with the server.
+    """WSGI server without an access log that ends the tasks of its connections in ``stop``.
 
-    A connection that is collected while it waits leaves libev a watcher of a closed file.
+    A connection task that is garbage-collected while it waits for data would leave libev with a
+    watcher on a closed file descriptor.
     """
 
     def __init__(self, listen: tuple[str, int], application: Callable, **options: Any) -> None:
--- a/packages/loomyard-standins/src/loomyard_standins/config_fleet.py
+++ b/packages/loomyard-standins/src/loomyard_standins/config_fleet.py
@@ -1,4 +1,4 @@
-"""Routers without callers, whose configuration a test or a bench drives by hand."""
+"""Fleet of routers reduced to their configuration, for tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -25,28 +25,28 @@
 from loomyard_standins.log_service import MemoryLog
 from loomyard_standins.memory_network import MemoryNetwork, MemoryPeers
 
-RETENTION = 1000.0
+RETENTION_SECONDS = 1000.0
 
 
-class KnownMembers:
-    """A membership in which everybody is alive."""
+class StaticMembers:
+    """Membership in which every member is alive."""
 
-    def __init__(self, own: Member, everybody: list[Member]) -> None:
+    def __init__(self, own: Member, members: list[Member]) -> None:
         self.own = own
-        self._everybody = everybody
+        self._members = members
 
     def find(self, name: str) -> Member | None:
-        return next((member for member in self._everybody if member.name == name), None)
+        return next((member for member in self._members if member.name == name), None)
 
     def live(self) -> tuple[Member, ...]:
-        return tuple(self._everybody)
+        return tuple(self._members)
 
 
 @define(eq=False)
 class ConfigRouter:
-    """The parts of a router that hold its configuration."""
+    """Components of a router that follow, exchange and snapshot the configuration."""
 
-    members: KnownMembers
+    members: StaticMembers
     links: MemoryPeers
     follower: ConfigFollower
     peers: PeerConfiguration
@@ -58,7 +58,7 @@
 
 
 class ConfigFleet:
-    """A log service and routers that a test drives."""
+    """Log service and routers on a fake clock; the test runs each component explicitly."""
 
     def __init__(self) -> None:
         self.clock = FakeClock()
@@ -68,11 +68,11 @@
         self.written: list[bytes] = []
 
     def start(self, name: str) -> ConfigRouter:
-        """Start a router, empty; an earlier one of the name is gone."""
+        """Create a router with an empty state; it replaces an earlier one of the same name."""
         member = Member(name=name, incarnation=1, address="", data_centre="")
         if all(other.name != name for other in self.members):
             self.members.append(member)
-        members = KnownMembers(member, self.members)
+        members = StaticMembers(member, self.members)
         follower = ConfigFollower(self.log, self.clock)
         snapshots = LogSnapshots(self.log)
         links = self.network.join(member)
@@ -91,32 +91,36 @@
             follower=follower,
             snapshots=snapshots,
             members=members,
-            retention=RETENTION,
+            retention=RETENTION_SECONDS,
         )
         return ConfigRouter(members, links, follower, peers, writer)
 
     def append(self, weight: float, based_on: int = -1) -> int:
+        """Append a change that sets the weight of the sample account; return its offset."""
         account = ClientAccount(metadata=Metadata(name="kiosk"), weight=weight)
         number = len(self.written)
         record = Change(change_id=f"c{number}", puts=[Put(object=account, based_on=based_on)])
         return self.append_record(encode(record))
 
     def append_record(self, payload: bytes) -> int:
+        """Append an encoded record to the configuration stream; return its offset."""
         offset = self.log.append(CONFIG_STREAM, payload).unwrap()
         self.written.append(payload)
         return offset
 
     def append_parts(self, parts: tuple[SnapshotPart, ...]) -> None:
+        """Append the parts of a snapshot to the snapshot stream."""
         for part in parts:
             self.log.append(SNAPSHOT_STREAM, encode(part))
 
     def grow(self, count: int) -> None:
-        """Append changes of one object, each based on the last."""
-        last = len(self.written) - 1
-        for offset in range(last, last + count):
+        """Append changes of one object, each based on the version before it."""
+        newest = len(self.written) - 1
+        for offset in range(newest, newest + count):
             self.append(1.0 + offset % 7 if offset >= 0 else 1.0, offset)
 
     def fold_all(self) -> ConfigState:
+        """Return the state that results from all records appended so far."""
         state = ConfigState()
         for offset, payload in enumerate(self.written):
             state = fold_record(state, offset, payload).state
--- a/packages/loomyard-standins/src/loomyard_standins/demo.py
+++ b/packages/loomyard-standins/src/loomyard_standins/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: a fleet in one process, its callers and what they saw."""
+"""Demonstration: run a fleet with callers in one process and print their metrics."""
 
 from __future__ import annotations
 
@@ -24,15 +24,17 @@
     start_fleet,
 )
 
-SECONDS = 10.0
+RUN_SECONDS = 10.0
 CALLERS_PER_ACCOUNT = 24
 SERVE_SECONDS = 365 * 24 * 3600
 
 
 def main() -> int:
-    """Run the demonstration, or serve until interrupted."""
+    """Run the demonstration, or with ``--serve`` keep the fleet up until interrupted."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--serve", action="store_true", help="keep the fleet running")
+    parser.add_argument(
+        "--serve", action="store_true", help="keep the fleet running until interrupted"
+    )
     parser.add_argument("--policy", default="fleet", help="share policy")
     arguments = parser.parse_args()
     fleet = start_fleet(policy=arguments.policy)
@@ -68,7 +70,7 @@
     sent = [
         (r.components.traffic.sent_bytes, r.components.traffic.sent_messages) for r in fleet.routers
     ]
-    _call(fleet, tallies, receipts, until=time.monotonic() + SECONDS)
+    _run_callers(fleet, tallies, receipts, until=time.monotonic() + RUN_SECONDS)
     utilisation = meter.stop()
     print(f"{'account':12} {'weight':>6} {'answers':>8} {'tokens':>8} {'share':>6} {'p50 ms':>7}"
           f" {'p99 ms':>7} {'refused':>8}")  # fmt: skip
@@ -84,8 +86,8 @@
         traffic = router.components.traffic
         print(
             f"control sent by {router.components.members.own.name}:"
-            f" {(traffic.sent_bytes - sent_bytes) / SECONDS:.0f} bytes/s,"
-            f" {(traffic.sent_messages - sent_messages) / SECONDS:.1f} messages/s"
+            f" {(traffic.sent_bytes - sent_bytes) / RUN_SECONDS:.0f} bytes/s,"
+            f" {(traffic.sent_messages - sent_messages) / RUN_SECONDS:.1f} messages/s"
         )
 
 
@@ -97,7 +99,9 @@
     )
 
 
-def _call(fleet: StandinFleet, tallies: dict[str, Tally], receipts: Tally, *, until: float) -> None:
+def _run_callers(
+    fleet: StandinFleet, tallies: dict[str, Tally], receipts: Tally, *, until: float
+) -> None:
     tasks = []
     for name, tally in tallies.items():
         for number in range(CALLERS_PER_ACCOUNT):
--- a/packages/loomyard-standins/src/loomyard_standins/engine.py
+++ b/packages/loomyard-standins/src/loomyard_standins/engine.py
@@ -1,4 +1,4 @@
-"""A model engine over HTTP: continuous batching, streams that resume, a prefix cache."""
+"""Model engine over HTTP with continuous batching, resumable streams and a prefix cache."""
 
 from __future__ import annotations
 
@@ -17,15 +17,17 @@
 from loomyard.external.engine import EngineOrder
 from loomyard.prompt_prefixes import prompt_prefix_digest
 from loomyard_standins.engine_cache import CAPACITY, PrefixCache
-from loomyard_standins.engine_orders import OrderBook
+from loomyard_standins.engine_orders import OrderExecutor
 from loomyard_standins.served_standin import LOOPBACK, ServedStandin
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Iterator
 
 DEFAULT_TOKENS = 16
-KEPT_STREAMS = 256
-HIT_PART = 0.1
+# Streams kept for resumption; beyond this the oldest are dropped.
+MAX_STREAMS = 256
+CACHED_PREFILL_FRACTION = 0.1
+# Load samples taken during one ``load_lag``.
 SAMPLES_PER_LAG = 8
 NOT_RUN = [("Loomyard-Not-Run", "1"), ("Content-Type", "application/json")]
 LEAVING = [*NOT_RUN, ("Loomyard-Leaving", "1")]
@@ -33,24 +35,25 @@
 
 @define(eq=False)
 class EngineStream:
-    """The work of one attempt; ``events`` are whole server-sent events."""
+    """Generation for one attempt; ``events`` holds the encoded server-sent events so far."""
 
     attempt_id: str
     prompt_tokens: int
     tokens: int
     events: list[bytes] = field(factory=list)
-    made: int = 0
+    generated: int = 0
     finished: bool = False
     cancelled: bool = False
-    grown: Event = field(factory=Event)
+    changed: Event = field(factory=Event)
 
 
 class EngineServer(ServedStandin):
-    """An engine that makes one token of each running request every step.
+    """Engine that generates one token for each running request every ``step_seconds``.
 
-    The first step takes ``prefill_seconds`` more, and ``HIT_PART`` of them on a cached prefix.
-    Faults: ``leaving`` and ``failing`` refuse new work, ``load_silent`` answers no load report,
-    ``load_lag`` is the age of a load report in seconds.
+    Prefill takes ``prefill_seconds`` before the first token, or ``CACHED_PREFILL_FRACTION`` of
+    that if the prompt prefix is cached. Injected faults: ``leaving`` and ``failing`` refuse new
+    requests, ``load_silent`` fails load reports with status 503, ``load_lag`` is the age in
+    seconds of the reported load.
     """
 
     def __init__(
@@ -68,7 +71,7 @@
         self.model = model
         self.prefill_seconds = prefill_seconds
         self.cache = PrefixCache(cached_prefixes)
-        self.orders = OrderBook([model], checks_fencing)
+        self.orders = OrderExecutor([model], checks_fencing)
         self.load_lag = load_lag
         self.leaving = False
         self.failing = False
@@ -110,7 +113,7 @@
         if parts[0] == "orders":
             fencing = int(query["fencing"][0])
             order = EngineOrder(action=parts[1], subject=parts[2], fencing=fencing)
-            return self._take_order(order, start_response)
+            return self._apply_order(order, start_response)
         start_response("404 Not Found", [])
         return [b""]
 
@@ -119,7 +122,7 @@
         if self.leaving or self.failing:
             start_response("503 Service Unavailable", LEAVING if self.leaving else NOT_RUN)
             return [b"{}"]
-        if self.orders.taken and body.get("model") not in self.orders.models:
+        if self.orders.applied and body.get("model") not in self.orders.models:
             start_response("404 Not Found", NOT_RUN)
             return [b"{}"]
         attempt = environ.get("HTTP_LOOMYARD_ATTEMPT", "")
@@ -130,10 +133,10 @@
         )
         self.opened.append(attempt)
         self.streams[attempt] = stream
-        while len(self.streams) > KEPT_STREAMS:
+        while len(self.streams) > MAX_STREAMS:
             self.streams.popitem(last=False)
         hit = self.cache.touch(prompt_prefix_digest(body))
-        prefill = self.prefill_seconds * (HIT_PART if hit else 1.0)
+        prefill = self.prefill_seconds * (CACHED_PREFILL_FRACTION if hit else 1.0)
         gevent.spawn(self._generate, stream, chat, prefill)
         if body.get("stream"):
             _start_stream(start_response, stream)
@@ -153,12 +156,12 @@
                 gevent.sleep(self.step_seconds)
                 if stream.cancelled:
                     break
-                stream.made += 1
+                stream.generated += 1
                 _push(stream, self._chunk(stream, chat, f"t{number} "))
             self.running -= 1
         if stream.cancelled:
             stream.finished = True
-            stream.grown.set()
+            stream.changed.set()
             return
         usage = self._usage(stream)
         chunk = {"id": stream.attempt_id, "object": "chunk", "created": 0, "model": self.model}
@@ -189,8 +192,8 @@
     def _usage(self, stream: EngineStream) -> dict[str, int]:
         return {
             "prompt_tokens": stream.prompt_tokens,
-            "completion_tokens": stream.made,
-            "total_tokens": stream.prompt_tokens + stream.made,
+            "completion_tokens": stream.generated,
+            "total_tokens": stream.prompt_tokens + stream.generated,
         }
 
     def _cancel(self, attempt: str, start_response: Callable) -> Iterable[bytes]:
@@ -217,8 +220,8 @@
     def _lagging_load(self) -> dict[str, Any]:
         if not self.load_lag:
             return self._load()
-        known_since = time.monotonic() - self.load_lag
-        while len(self._samples) > 1 and self._samples[1][0] <= known_since:
+        sampled_before = time.monotonic() - self.load_lag
+        while len(self._samples) > 1 and self._samples[1][0] <= sampled_before:
             self._samples.popleft()
         return self._samples[0][1] if self._samples else self._load()
 
@@ -227,8 +230,8 @@
             self._samples.append((time.monotonic(), self._load()))
             gevent.sleep(self.load_lag / SAMPLES_PER_LAG)
 
-    def _take_order(self, order: EngineOrder, start_response: Callable) -> Iterable[bytes]:
-        if not self.orders.take(order):
+    def _apply_order(self, order: EngineOrder, start_response: Callable) -> Iterable[bytes]:
+        if not self.orders.apply(order):
             start_response("409 Conflict", [("Content-Type", "application/json")])
             return [b'"old fencing number"']
         return _json(start_response, {})
@@ -236,7 +239,7 @@
 
 def _push(stream: EngineStream, data: str) -> None:
     stream.events.append(f"id: {len(stream.events)}\ndata: {data}\n\n".encode())
-    stream.grown.set()
+    stream.changed.set()
 
 
 def _follow(stream: EngineStream, number: int) -> Iterator[bytes]:
@@ -246,8 +249,8 @@
             number += 1
         if stream.finished and number >= len(stream.events):
             return
-        stream.grown.clear()
-        stream.grown.wait()
+        stream.changed.clear()
+        stream.changed.wait()
 
 
 def _start_stream(start_response: Callable, stream: EngineStream) -> None:
--- a/packages/loomyard-standins/src/loomyard_standins/engine_cache.py
+++ b/packages/loomyard-standins/src/loomyard_standins/engine_cache.py
@@ -1,4 +1,4 @@
-"""The prefix cache of an engine: bounded, with events that come late and with gaps."""
+"""Bounded prefix cache of an engine, with late and missing cache events on demand."""
 
 from __future__ import annotations
 
@@ -7,30 +7,31 @@
 from loomyard.external.engine import CacheEvent
 
 CAPACITY = 64
-KEPT_EVENTS = 512
+MAX_EVENTS = 512
 
 
 class PrefixCache:
-    """The least recently used prefix leaves first.
+    """LRU cache of prompt prefixes that publishes what it stores and evicts.
 
-    ``lag`` newest events are held back; ``lose`` counts events to come that are never published.
+    Injected faults: the newest ``lag`` events are held back, and the next ``lose`` events are
+    never published, although each uses up a sequence number.
     """
 
-    def __init__(self, capacity: int = CAPACITY, kept_events: int = KEPT_EVENTS) -> None:
+    def __init__(self, capacity: int = CAPACITY, max_events: int = MAX_EVENTS) -> None:
         self.lag = 0
         self.lose = 0
         self.hits = 0
         self.misses = 0
         self._capacity = capacity
         self._prefixes: OrderedDict[str, None] = OrderedDict()
-        self._events: deque[CacheEvent] = deque(maxlen=kept_events)
+        self._events: deque[CacheEvent] = deque(maxlen=max_events)
         self._sequence = 0
 
     def __contains__(self, prefix: str) -> bool:
         return prefix in self._prefixes
 
     def touch(self, prefix: str) -> bool:
-        """Use a prefix; tell whether it was there."""
+        """Look a prefix up, store it if absent, and return whether it was cached."""
         if prefix in self._prefixes:
             self.hits += 1
             self._prefixes.move_to_end(prefix)
@@ -44,13 +45,16 @@
         return False
 
     def clear(self) -> None:
-        """Forget everything and number events from the start, as a restart does."""
+        """Drop all prefixes and events and restart the numbering, as an engine restart does."""
         self._prefixes.clear()
         self._events.clear()
         self._sequence = 0
 
     def events_after(self, sequence: int) -> list[CacheEvent]:
-        """Return the published events after a number; all kept ones after a restart."""
+        """Return the published events with a higher sequence number.
+
+        A number ahead of the newest event predates a restart: all retained events are returned.
+        """
         published = list(self._events)[: max(0, len(self._events) - self.lag)]
         if sequence > self._sequence:
             return published
--- a/packages/loomyard-standins/src/loomyard_standins/engine_orders.py
+++ b/packages/loomyard-standins/src/loomyard_standins/engine_orders.py
@@ -1,4 +1,4 @@
-"""The orders that an engine takes, with and without a check of the fencing number."""
+"""Execution of orders by an engine, with or without a check of the fencing number."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 @define(eq=False)
-class OrderBook:
-    """Load and unload models, change the role.
+class OrderExecutor:
+    """Loads and unloads models and changes the role of an engine as ordered.
 
-    ``taken`` and ``refused`` are what the engine saw.
+    ``applied`` and ``refused`` record the orders received, in order of arrival.
     """
 
     models: list[str]
@@ -20,16 +20,16 @@
     load_seconds: float = 0.0
     highest_fencing: int = -1
     role: str = ""
-    taken: list[EngineOrder] = field(factory=list)
+    applied: list[EngineOrder] = field(factory=list)
     refused: list[EngineOrder] = field(factory=list)
 
-    def take(self, order: EngineOrder) -> bool:
-        """Carry an order out; false where its fencing number is old."""
+    def apply(self, order: EngineOrder) -> bool:
+        """Execute an order; return false if its fencing number is outdated and checked."""
         if self.checks_fencing and order.fencing < self.highest_fencing:
             self.refused.append(order)
             return False
         self.highest_fencing = max(self.highest_fencing, order.fencing)
-        self.taken.append(order)
+        self.applied.append(order)
         if order.action == "load":
             gevent.sleep(self.load_seconds)
             if order.subject not in self.models:
--- a/packages/loomyard-standins/src/loomyard_standins/fake_clock.py
+++ b/packages/loomyard-standins/src/loomyard_standins/fake_clock.py
@@ -1,4 +1,4 @@
-"""A clock that tests move."""
+"""Fake clock that tests advance explicitly."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class FakeClock:
-    """A monotonic clock and a wall clock that stand still between calls of ``advance``."""
+    """Monotonic clock and wall clock that move only in ``advance``."""
 
     def __init__(self, *, wall: float = 1_000_000.0) -> None:
         self._now = 0.0
@@ -26,7 +26,7 @@
             self._moved.wait()
 
     def advance(self, seconds: float) -> None:
-        """Move on and let sleepers run."""
+        """Move the time forward by some seconds and let sleepers that are due run."""
         self._now += seconds
         self._moved.set()
         self._moved = Event()
--- a/packages/loomyard-standins/src/loomyard_standins/fleet.py
+++ b/packages/loomyard-standins/src/loomyard_standins/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet with its stand-ins in one process."""
+"""Small fleet of routers with the stand-ins of its environment, in one process."""
 
 from __future__ import annotations
 
@@ -30,6 +30,7 @@
 from loomyard_standins.plain_service import PlainServer
 from loomyard_standins.vm_list import MemoryVmList, VmListServer
 
+# Weight by name.
 ACCOUNTS = {"kiosk": 1.0, "genealogy": 1.0, "labels": 1.0, "handover": 2.0}
 RECEIPT_ACCOUNT = "receipts"
 ENGINE_SLOTS = 8
@@ -42,7 +43,7 @@
 
 @define(eq=False)
 class StandinFleet:
-    """Routers, engines, a plain service and a log service."""
+    """Routers, engines, a plain service, a VM list and a log service."""
 
     log: LogServer
     engines: list[EngineServer] = field(factory=list)
@@ -55,7 +56,10 @@
         return [f"http://127.0.0.1:{router.port}" for router in self.routers]
 
     def publish(self, objects: list[ConfigObject]) -> None:
-        """Append changes and wait until they are in force on every router."""
+        """Append changes and wait until they are in force on every router.
+
+        Raises ``ValueError`` if a change is rejected.
+        """
         state = self.routers[0].components.follower.state
         found = [state.get(ref_of(item)) for item in objects]
         puts = [
@@ -83,19 +87,19 @@
         self.vms.vm_list.publish()
 
     def await_members(self) -> None:
-        """Wait until every router knows all."""
+        """Wait until every router has all routers in its membership."""
         while any(len(r.components.members.live()) < len(self.routers) for r in self.routers):
             gevent.sleep(0.01)
 
     def await_claims(self) -> None:
-        """Wait until every router can order claims."""
+        """Wait until every router can claim idempotency keys."""
         while not all(router.components.claims.ready for router in self.routers):
             gevent.sleep(0.01)
 
     def stop(self) -> None:
-        """Stop everything."""
-        for part in [*self.routers, *self.engines, self.plain, self.vms, self.log]:
-            part.stop()
+        """Stop the routers, then the stand-ins."""
+        for component in [*self.routers, *self.engines, self.plain, self.vms, self.log]:
+            component.stop()
 
 
 def start_fleet(*, routers: int = 3, engines: int = 4, policy: str = "local") -> StandinFleet:
@@ -137,7 +141,7 @@
 
 
 def sample_key(account: str) -> str:
-    """Return the key of a sample account."""
+    """Return the API key of a sample account."""
     return f"key-{account}"
 
 
--- a/packages/loomyard-standins/src/loomyard_standins/immediate_result.py
+++ b/packages/loomyard-standins/src/loomyard_standins/immediate_result.py
@@ -1,4 +1,4 @@
-"""A result that is passed on at once."""
+"""Result object that calls a function instead of waking a waiting task."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ImmediateResult:
-    """Stand in for the ``AsyncResult`` of a waiting request."""
+    """Stand-in for the ``AsyncResult`` of a waiting request: ``set`` makes the call at once."""
 
     def __init__(self, call: Callable[[Any], None]) -> None:
         self.set = call
--- a/packages/loomyard-standins/src/loomyard_standins/known_red.py
+++ b/packages/loomyard-standins/src/loomyard_standins/known_red.py
@@ -1,4 +1,4 @@
-"""The tests that are known to fail for a real fault that is not mended yet."""
+"""Tests listed as known red: they fail because of a real fault that is not fixed yet."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @frozen
 class KnownRed:
-    """A test that fails for a real fault, the cause and the issue."""
+    """Test that fails because of a real fault, with the cause and the issue."""
 
     test: str
     cause: str
@@ -26,8 +26,8 @@
 
 
 @frozen
-class Sorted:
-    """The known red tests by what they did, and the failing tests that are not known red."""
+class KnownRedReport:
+    """Listed tests that failed, passed or did not run, and failed tests not on the list."""
 
     red: tuple[KnownRed, ...]
     green: tuple[KnownRed, ...]
@@ -36,12 +36,15 @@
 
 
 def read_known_red(path: Path) -> Result[tuple[KnownRed, ...], str]:
-    """Read the list, ``TEST | CAUSE | ISSUE`` a line; no file means none."""
+    """Read the list, one ``TEST | CAUSE | ISSUE`` per line; without the file it is empty.
+
+    Returns an error text for a malformed line or more than ``MAX_KNOWN_RED`` entries.
+    """
     if not path.exists():
         return Ok(())
     known = []
     for line in filter(None, map(str.strip, path.read_text().splitlines())):
-        fields = [part.strip() for part in line.split(SEPARATOR)]
+        fields = [column.strip() for column in line.split(SEPARATOR)]
         if len(fields) != FIELDS or not all(fields):
             return Err(f"not TEST | CAUSE | ISSUE: {line!r}")
         known.append(KnownRed(*fields))
@@ -50,10 +53,12 @@
     return Ok(tuple(known))
 
 
-def sort_known_red(known: tuple[KnownRed, ...], ran: set[str], failed: set[str]) -> Sorted:
+def classify_known_red(
+    known: tuple[KnownRed, ...], ran: set[str], failed: set[str]
+) -> KnownRedReport:
     """Compare the list with the ids of the tests that ran and that failed."""
     names = {entry.test for entry in known}
-    return Sorted(
+    return KnownRedReport(
         red=tuple(entry for entry in known if entry.test in failed),
         green=tuple(entry for entry in known if entry.test in ran - failed),
         not_run=tuple(entry for entry in known if entry.test not in ran | failed),
--- a/packages/loomyard-standins/src/loomyard_standins/log_service.py
+++ b/packages/loomyard-standins/src/loomyard_standins/log_service.py
@@ -1,4 +1,4 @@
-"""A log service in memory, with its faults."""
+"""Log service in memory, with fault injection."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class MemoryLog:
-    """Streams in memory.
+    """Append-only streams in memory.
 
-    ``down`` refuses everything; ``lose_answers`` counts appends to come that take effect without
-    an answer; ``delay`` is in seconds for each call.
+    Injected faults: ``down`` refuses every call; the next ``lose_answers`` appends take effect
+    but report a lost answer; ``delay`` in seconds is added to each call.
     """
 
     def __init__(self) -> None:
@@ -71,12 +71,12 @@
             return Err(_unavailable())
         first = self._first[stream]
         start = max(offset, first)
-        kept = self._records[stream][start - first : start - first + limit]
-        records = tuple(LogRecord(start + i, payload) for i, payload in enumerate(kept))
+        payloads = self._records[stream][start - first : start - first + limit]
+        records = tuple(LogRecord(start + i, payload) for i, payload in enumerate(payloads))
         return Ok(LogBatch(first, self.end(stream), records))
 
     def trim(self, stream: str, before: int) -> None:
-        """Forget the records before an offset."""
+        """Delete the records before an offset."""
         count = max(0, min(before, self.end(stream)) - self._first[stream])
         del self._records[stream][:count]
         self._first[stream] += count
@@ -92,7 +92,7 @@
 
 
 class LogServer(ServedStandin):
-    """The streams of a ``MemoryLog`` over HTTP."""
+    """HTTP server for a ``MemoryLog``."""
 
     def __init__(self, log: MemoryLog, listen: tuple[str, int] = LOOPBACK) -> None:
         self.log = log
--- a/packages/loomyard-standins/src/loomyard_standins/memory_datagrams.py
+++ b/packages/loomyard-standins/src/loomyard_standins/memory_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between routers in one process, with their faults."""
+"""Datagrams between routers in one process, with fault injection."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 
 
 class DatagramNetwork:
-    """Carry datagrams by address; cut pairs, lose and double datagrams.
+    """Delivers datagrams by address, in a separate task or in a call of ``flush``.
 
-    They arrive in a task of their own, or at a call of ``flush``.
+    Injected faults: ``cut`` separates addresses; ``loss`` and ``doubled`` are the probabilities
+    that a datagram is lost or arrives twice.
     """
 
     def __init__(self, *, seed: int = 0) -> None:
@@ -29,15 +30,15 @@
         self._flushing = False
 
     def join(self, address: str) -> MemoryDatagrams:
-        """Return the datagrams of an address; nothing arrives there before its start."""
+        """Return the datagrams of an address; none arrive there before its ``start``."""
         return MemoryDatagrams(self, address)
 
     def attach(self, address: str, receive: Callable[[bytes], None]) -> None:
-        """Let datagrams arrive at an address."""
+        """Register the receiver of an address."""
         self._receivers[address] = receive
 
     def detach(self, address: str) -> None:
-        """Let datagrams to an address be lost, as a kill does."""
+        """Remove the receiver of an address, as a kill does; datagrams to it are lost."""
         self._receivers.pop(address, None)
 
     def cut(self, left: set[str], right: set[str]) -> None:
@@ -45,11 +46,11 @@
         self._cuts |= {frozenset((a, b)) for a in left for b in right}
 
     def heal(self) -> None:
-        """Mend all cuts."""
+        """Remove all cuts."""
         self._cuts.clear()
 
     def carry(self, sender: str, to: str, data: bytes) -> None:
-        """Send a datagram on its way."""
+        """Queue a datagram for delivery, unless a fault drops it."""
         self.carried.append((sender, to, data))
         if frozenset((sender, to)) in self._cuts or self._random.random() < self.loss:
             return
@@ -61,7 +62,7 @@
             gevent.spawn(self.flush)
 
     def flush(self) -> None:
-        """Let all datagrams arrive, also those sent in answer."""
+        """Deliver all queued datagrams, including those sent in response."""
         while self._waiting:
             to, data = self._waiting.popleft()
             if (receive := self._receivers.get(to)) is not None:
@@ -70,7 +71,7 @@
 
 
 class MemoryDatagrams:
-    """The ``Datagrams`` of one router in a ``DatagramNetwork``."""
+    """``Datagrams`` of one router in a ``DatagramNetwork``."""
 
     def __init__(self, network: DatagramNetwork, address: str) -> None:
         self._network = network
--- a/packages/loomyard-standins/src/loomyard_standins/memory_engines.py
+++ b/packages/loomyard-standins/src/loomyard_standins/memory_engines.py
@@ -1,4 +1,4 @@
-"""Engines in memory, as far as routers steer them; for tests with a clock that stands still."""
+"""Engines in memory that report load and execute orders, for tests with a fake clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from loomyard.errors import Executed, Fault, ResultCode
 from loomyard.external.engine import CacheEvent, EngineOrder, LoadReport
 from loomyard_standins.engine_cache import PrefixCache
-from loomyard_standins.engine_orders import OrderBook
+from loomyard_standins.engine_orders import OrderExecutor
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -20,10 +20,15 @@
 
 @define(eq=False)
 class MemoryEngine:
-    """One engine; its faults: ``stuck`` never ends an order, ``lose_answers`` counts orders."""
+    """One engine.
+
+    Injected faults: ``stuck`` accepts orders and never executes them; the next ``lose_answers``
+    orders are executed but report a lost answer; with ``reachable`` false, load reports, cache
+    events and orders fail.
+    """
 
     report: LoadReport
-    orders: OrderBook
+    orders: OrderExecutor
     cache: PrefixCache = field(factory=PrefixCache)
     reachable: bool = True
     stuck: bool = False
@@ -32,16 +37,16 @@
 
 
 class MemoryEngines:
-    """Engines by URL; ``before_order`` is called as an order is about to arrive."""
+    """Engines by URL; ``before_order`` is called before each order is delivered."""
 
     def __init__(self) -> None:
         self.engines: dict[str, MemoryEngine] = {}
         self.before_order: Callable[[str, EngineOrder], None] | None = None
 
     def add(self, url: str, *models: str, checks_fencing: bool = False) -> MemoryEngine:
-        """Add an idle engine."""
+        """Add an idle engine with some models loaded."""
         report = LoadReport(running=0, waiting=0, step_seconds=0.003)
-        orders = OrderBook(list(models), checks_fencing)
+        orders = OrderExecutor(list(models), checks_fencing)
         self.engines[url] = MemoryEngine(report, orders)
         return self.engines[url]
 
@@ -74,7 +79,7 @@
             return Err(_unreachable(url))
         if engine.stuck:
             return Ok(None)
-        if not engine.orders.take(order):
+        if not engine.orders.apply(order):
             return Err(Fault(code=ResultCode.ORDER_FENCED, detail="old fencing number"))
         if engine.lose_answers:
             engine.lose_answers -= 1
--- a/packages/loomyard-standins/src/loomyard_standins/memory_gossip.py
+++ b/packages/loomyard-standins/src/loomyard_standins/memory_gossip.py
@@ -10,7 +10,7 @@
 
 
 class MemoryGossip:
-    """Deliver announcements to all joined routers but the sender; hold them while ``cut``."""
+    """Delivers announcements to all routers but the sender; queues them while ``cut``."""
 
     def __init__(self) -> None:
         self.cut = False
@@ -19,43 +19,43 @@
         self._held: list[tuple[GossipMember, str, str, int]] = []
 
     def join(self) -> GossipMember:
-        """Make the gossip of a router."""
+        """Add a router and return its gossip."""
         member = GossipMember(self)
         self._members.append(member)
         return member
 
-    def spread(self, sender: GossipMember, topic: str, key: str, value: int) -> None:
-        """Deliver an announcement, or hold it."""
+    def broadcast(self, sender: GossipMember, topic: str, key: str, value: int) -> None:
+        """Deliver an announcement to all other routers, or queue it while cut."""
         self.announced.append((topic, key, value))
         if self.cut:
             self._held.append((sender, topic, key, value))
             return
         for member in self._members:
             if member is not sender:
-                member.hear(topic, key, value)
+                member.deliver(topic, key, value)
 
     def heal(self, *, backwards: bool = False) -> None:
-        """Deliver what was held, perhaps in reverse order."""
+        """End the cut and deliver the queued announcements, on request in reverse order."""
         self.cut = False
         held, self._held = self._held, []
         for sender, topic, key, value in reversed(held) if backwards else held:
-            self.spread(sender, topic, key, value)
+            self.broadcast(sender, topic, key, value)
 
 
 class GossipMember:
-    """The gossip of one router."""
+    """Gossip of one router in a ``MemoryGossip``."""
 
     def __init__(self, network: MemoryGossip) -> None:
         self._network = network
         self._handlers: defaultdict[str, list[Callable[[str, int], None]]] = defaultdict(list)
 
     def announce(self, topic: str, key: str, value: int, *, until: float) -> None:
-        self._network.spread(self, topic, key, value)
+        self._network.broadcast(self, topic, key, value)
 
-    def subscribe_topic(self, topic: str, heard: Callable[[str, int], None]) -> None:
-        self._handlers[topic].append(heard)
+    def subscribe_topic(self, topic: str, received: Callable[[str, int], None]) -> None:
+        self._handlers[topic].append(received)
 
-    def hear(self, topic: str, key: str, value: int) -> None:
-        """Give an announcement to the handlers."""
+    def deliver(self, topic: str, key: str, value: int) -> None:
+        """Pass an announcement to the handlers of its topic."""
         for handler in self._handlers[topic]:
             handler(key, value)
--- a/packages/loomyard-standins/src/loomyard_standins/memory_network.py
+++ b/packages/loomyard-standins/src/loomyard_standins/memory_network.py
@@ -1,4 +1,4 @@
-"""Links between routers in one process, with their faults."""
+"""Links between routers in one process, with fault injection."""
 
 from __future__ import annotations
 
@@ -18,7 +18,12 @@
 
 
 class MemoryNetwork:
-    """Deliver messages between routers; cut pairs, delay, lose and double messages."""
+    """Delivers messages between routers.
+
+    Injected faults: ``cut`` separates routers; ``delay`` in seconds is added to each message
+    and twice to each request; ``loss`` and ``doubled`` are the probabilities that a message
+    (not a request) is lost or arrives twice.
+    """
 
     def __init__(self, *, seed: int = 0) -> None:
         self.delay = 0.0
@@ -31,7 +36,7 @@
         self._links: dict[str, MemoryPeers] = {}
 
     def join(self, member: Member) -> MemoryPeers:
-        """Make the links of a router; a later join of the same name replaces it."""
+        """Add a router and return its links; they replace earlier ones of the same name."""
         self._links[member.name] = MemoryPeers(self, member)
         return self._links[member.name]
 
@@ -44,21 +49,21 @@
         self._cuts |= {frozenset((a, b)) for a in left for b in right}
 
     def heal(self) -> None:
-        """Mend all cuts."""
+        """Remove all cuts."""
         self._cuts.clear()
 
     def is_cut(self, left: str, right: str) -> bool:
-        """Tell whether the links between two routers are cut."""
+        """Return whether the links between two routers are cut."""
         return frozenset((left, right)) in self._cuts
 
     def find(self, sender: str, to: str) -> MemoryPeers | None:
-        """Return the links of a router that can be reached."""
+        """Return the links of a receiver, or ``None`` if the sender can't reach it."""
         if self.is_cut(sender, to) or sender not in self._links:
             return None
         return self._links.get(to)
 
     def deliver(self, sender: Member, to: str, message: Any) -> bool:
-        """Send a message on its way."""
+        """Send a message asynchronously; return false if the receiver is unreachable."""
         if self.find(sender.name, to) is None:
             return False
         data = encode(message)
@@ -78,7 +83,7 @@
 
 
 class MemoryPeers:
-    """The ``PeerLinks`` of one router in a ``MemoryNetwork``."""
+    """``PeerLinks`` of one router in a ``MemoryNetwork``."""
 
     def __init__(self, network: MemoryNetwork, member: Member) -> None:
         self._network = network
@@ -100,7 +105,7 @@
         self._handlers[kind] = handler
 
     def receive(self, sender: Member, message: Any) -> Any:
-        """Give a message to its handler."""
+        """Pass a message to the handler of its type and return the reply."""
         handler = self._handlers.get(type(message))
         return handler(sender, message) if handler else None
 
--- a/packages/loomyard-standins/src/loomyard_standins/memory_store.py
+++ b/packages/loomyard-standins/src/loomyard_standins/memory_store.py
@@ -1,4 +1,4 @@
-"""A store of keyed records in this process, with outages for all routers or for some."""
+"""Store of keyed records in memory, with outages for single routers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Outage(Enum):
-    """What becomes of calls: no answer, a refusal at once, or broken connections."""
+    """How calls fail: by a time-out, by an immediate refusal, or by a closed connection."""
 
     SILENT = "no answer in time"
     BUSY = "status 503"
@@ -30,7 +30,11 @@
 
 
 class MemoryStore:
-    """One feed. An answer that is due while the store is away is never given, also later."""
+    """One feed of keyed records.
+
+    A read whose answer falls due during an outage times out, even if the outage ends before
+    the deadline of the read.
+    """
 
     def __init__(self, name: str, clock: Clock) -> None:
         self.name = name
@@ -38,14 +42,14 @@
         self.moved = Event()
         self.connections = 0
         self.era = 0
-        # Records before this offset are gone for readers; listings still have the newest of a key.
+        # Reads before this offset fail as trimmed; listings keep the newest record of each key.
         self.first = 0
         self._records: list[KeyedRecord] = []
         self._written_at: list[float] = []
         self._outages: dict[str, Outage] = {}
 
     def publish(self, key: str, value: bytes | None) -> float:
-        """Keep a record; return the time at which its writer is told so."""
+        """Append a record; return the time at which the write is confirmed."""
         self._records.append(
             KeyedRecord(key=key, value=value, offset=len(self._records), era=self.era)
         )
@@ -53,21 +57,21 @@
         self._wake()
         return self.clock.now()
 
-    def fall_back(self, seconds: float) -> list[KeyedRecord]:
-        """Come back from a copy that is some seconds old; return the records that it lacks."""
-        kept = sum(at <= self.clock.now() - seconds for at in self._written_at)
-        lost = self._records[kept:]
-        del self._records[kept:], self._written_at[kept:]
+    def roll_back(self, seconds: float) -> list[KeyedRecord]:
+        """Restore the copy of some seconds ago and begin a new era; return the lost records."""
+        kept_count = sum(at <= self.clock.now() - seconds for at in self._written_at)
+        lost = self._records[kept_count:]
+        del self._records[kept_count:], self._written_at[kept_count:]
         self.era += 1
         self.first = min(self.first, len(self._records))
         return lost
 
-    def cut_short(self) -> None:
-        """Drop all records but the last one."""
+    def trim_to_last(self) -> None:
+        """Trim the feed to its last record, for reads only."""
         self.first = max(0, self.end - 1)
 
     def fail(self, routers: Iterable[str], outage: Outage) -> None:
-        """Begin an outage for some routers."""
+        """Start an outage for some routers."""
         self._outages |= dict.fromkeys(routers, outage)
         self._wake()
 
@@ -77,19 +81,19 @@
         self._wake()
         return self.clock.now()
 
-    def mute(self) -> None:
-        """Let all open connections fall silent for good; new ones work."""
+    def hang_connections(self) -> None:
+        """Make all reads in progress time out; later reads work."""
         self.connections += 1
 
     def outage(self, router: str) -> Outage | None:
-        """Return how the store fails a router now."""
+        """Return the outage that a router is in now, if any."""
         return self._outages.get(router)
 
-    def since(self, offset: int) -> list[KeyedRecord]:
+    def records_from(self, offset: int) -> list[KeyedRecord]:
         """Return the records from an offset on."""
         return [evolve(record, era=self.era) for record in self._records[offset:]]
 
-    def newest(self) -> list[KeyedRecord]:
+    def newest_records(self) -> list[KeyedRecord]:
         """Return the newest record of each key."""
         newest = {record.key: record for record in self._records}
         return [evolve(one, era=self.era) for one in newest.values() if one.value is not None]
@@ -105,7 +109,7 @@
 
 
 class MemoryStoreFeed:
-    """The ``Feed`` of one router."""
+    """``Feed`` of one router over a ``MemoryStore``."""
 
     def __init__(self, store: MemoryStore, router: str) -> None:
         self.calls = 0
@@ -121,7 +125,7 @@
         outage = self._store.outage(self._router)
         if outage is not None:
             return self._fail(outage, deadline)
-        records = self._store.newest()
+        records = self._store.newest_records()
         return Ok(Listing(records=records, position=FeedPosition(self._store.era, self._store.end)))
 
     def read(self, offset: int, wait_until: float) -> Result[Batch, Fault]:
@@ -131,7 +135,7 @@
         if outage is not None:
             return self._fail(outage, wait_until + ANSWER_MARGIN_SECONDS)
         connections = store.connections
-        while not store.since(offset) and clock.now() < wait_until:
+        while not store.records_from(offset) and clock.now() < wait_until:
             wait_any([store.moved], wait_until, clock)
             if store.outage(self._router) is Outage.RESET:
                 return self._fail(Outage.RESET, clock.now())
@@ -139,7 +143,7 @@
             return self._fail(Outage.SILENT, wait_until + ANSWER_MARGIN_SECONDS)
         if offset > store.end or offset < store.first:
             return Err(Fault(code=ResultCode.LOG_TRIMMED, detail="no such records"))
-        records = store.since(offset)
+        records = store.records_from(offset)
         return Ok(Batch(records=records, position=FeedPosition(store.era, store.end)))
 
     def _fail(self, outage: Outage, deadline: float) -> Err[Fault]:
--- a/packages/loomyard-standins/src/loomyard_standins/plain_service.py
+++ b/packages/loomyard-standins/src/loomyard_standins/plain_service.py
@@ -1,4 +1,4 @@
-"""A plain service over HTTP that counts what it ran."""
+"""Plain service over HTTP that records the requests it executed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class PlainServer(ServedStandin):
-    """A service that answers after some seconds."""
+    """Service that answers each request after ``seconds`` with its number and body."""
 
     def __init__(self, *, seconds: float = 0.01, listen: tuple[str, int] = LOOPBACK) -> None:
         self.seconds = seconds
--- a/packages/loomyard-standins/src/loomyard_standins/scripted_target.py
+++ b/packages/loomyard-standins/src/loomyard_standins/scripted_target.py
@@ -1,4 +1,4 @@
-"""A target that answers byte for byte as a test tells it."""
+"""Target whose answers a test scripts byte by byte."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @frozen(kw_only=True)
 class ReceivedCall:
-    """A request as it came over a connection; ``connection`` counts connections from 0."""
+    """Received request; ``line`` is method and path, ``connection`` counts from 0."""
 
     connection: int
     line: str
@@ -38,7 +38,10 @@
 
 
 class ScriptedTarget:
-    """Call a script for each request but cancels; the connection goes on while it returns true."""
+    """TCP server that calls a script for each request except cancels, which it answers itself.
+
+    The script gets the request and the socket; the connection is closed unless it returns true.
+    """
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -52,15 +55,15 @@
 
     @property
     def work(self) -> list[ReceivedCall]:
-        """Return the calls that ask for work, not those that steer."""
+        """Return the received calls without cancels."""
         return [call for call in self.calls if not call.is_cancel]
 
     def start(self) -> None:
-        """Start to serve."""
+        """Start serving."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop to serve."""
+        """Stop serving and end the open connections."""
         self._server.stop(timeout=0)
 
     def _handle(self, sock: socket, _: object) -> None:
@@ -86,15 +89,15 @@
 def answer_bytes(
     call: ReceivedCall, body: bytes, *, status: str = "200 OK", headers: str = ""
 ) -> bytes:
-    """Return a whole answer to a call."""
+    """Return a complete HTTP answer to a call, with its content length."""
     head = f"HTTP/1.1 {status}\r\nLoomyard-Attempt: {call.attempt}\r\n{headers}"
     return f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
 def stream_head(call: ReceivedCall) -> bytes:
-    """Return the head of an event stream that ends with its connection."""
-    kind = "Content-Type: text/event-stream\r\nConnection: close\r\n"
-    return f"HTTP/1.1 200 OK\r\n{kind}Loomyard-Attempt: {call.attempt}\r\n\r\n".encode()
+    """Return the head of an event stream that is delimited by the end of the connection."""
+    extra_headers = "Content-Type: text/event-stream\r\nConnection: close\r\n"
+    return f"HTTP/1.1 200 OK\r\n{extra_headers}Loomyard-Attempt: {call.attempt}\r\n\r\n".encode()
 
 
 def _read_call(sock: socket, data: bytes, number: int) -> tuple[ReceivedCall | None, bytes]:
--- a/packages/loomyard-standins/src/loomyard_standins/served_standin.py
+++ b/packages/loomyard-standins/src/loomyard_standins/served_standin.py
@@ -1,4 +1,4 @@
-"""A stand-in that serves HTTP on loopback."""
+"""Base class of stand-ins that serve HTTP on the loopback interface."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+# Port 0: the system chooses a free port.
 LOOPBACK = ("127.0.0.1", 0)
 
 
 class ServedStandin:
-    """Start, stop and name the server of a stand-in."""
+    """HTTP server of a stand-in, with its address."""
 
     def __init__(self, listen: tuple[str, int], serve: Callable) -> None:
         self._server = ClosingServer(listen, serve)
@@ -28,9 +29,9 @@
         return f"http://{self.address}"
 
     def start(self) -> None:
-        """Start to serve."""
+        """Start serving."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop to serve."""
+        """Stop serving and end the open connections."""
         self._server.stop()
--- a/packages/loomyard-standins/src/loomyard_standins/share_attempt.py
+++ b/packages/loomyard-standins/src/loomyard_standins/share_attempt.py
@@ -1,4 +1,4 @@
-"""A request that a driver of share policies submits."""
+"""Simulated request that the driver of the share policies submits."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
     from loomyard_standins.share_driver import ShareDriver
     from loomyard_standins.virtual_engine import VirtualEngine
 
-LINK_DELAY = 0.0015
-STEP = 0.003
-CHUNK = 64
+LINK_DELAY = 0.0015  # seconds from an engine to a router, and from router to router
+STEP_SECONDS = 0.003  # per token
+CHUNK_TOKENS = 64  # tokens between two charges of a running request
 
 
 class ShareAttempt:
-    """One request, from its submission to its end."""
+    """One request from submission to completion; ``resubmit`` starts its caller's next one."""
 
     def __init__(
         self,
@@ -26,13 +26,13 @@
         position: int,
         waiting: WaitingRequest,
         tokens: int,
-        again: Callable[[], None],
+        resubmit: Callable[[], None],
     ) -> None:
         self._driver = driver
         self._position = position
         self._waiting = waiting
         self._tokens = tokens
-        self._again = again
+        self._resubmit = resubmit
         self._done = 0
         self._policy = driver.policies[position]
         self._admission: Admission | None = None
@@ -40,7 +40,7 @@
         self._ended = False
 
     def begin(self, admission: Admission) -> None:
-        """Go to the engine."""
+        """Run on the admitted engine, or queue there while its slots are in use."""
         self._admission = admission
         engine = self._engine
         if engine.running < engine.slots:
@@ -49,13 +49,13 @@
             engine.queue.append(self._run)
 
     def abandon(self) -> None:
-        """End with the router; the caller tries again."""
+        """Drop the request because its router was killed; the caller retries after 10 ms."""
         self._ended = True
         if self._running:
             self._leave_engine()
         else:
             self._driver.waiting[self._key] -= 1
-        self._driver.agenda.after(0.01, self._again)
+        self._driver.agenda.after(0.01, self._resubmit)
 
     @property
     def _key(self) -> tuple[str, str]:
@@ -76,8 +76,8 @@
         self._step()
 
     def _step(self) -> None:
-        count = min(CHUNK, self._tokens - self._done)
-        self._driver.agenda.after(count * STEP, lambda: self._progress(count))
+        count = min(CHUNK_TOKENS, self._tokens - self._done)
+        self._driver.agenda.after(count * STEP_SECONDS, lambda: self._progress(count))
 
     def _progress(self, count: int) -> None:
         if self._ended:
@@ -97,13 +97,13 @@
             self._waiting.account, self._waiting.service, self._tokens
         )
         self._leave_engine()
-        # The answer reaches the router, and the caller's next request comes, a link later.
+        # The answer reaches the router, and the caller sends its next request, a link delay later.
         self._driver.agenda.after(LINK_DELAY, self._finish)
 
     def _finish(self) -> None:
         assert self._admission is not None
         self._policy.finish(self._admission, float(self._tokens))
-        self._again()
+        self._resubmit()
 
     def _leave_engine(self) -> None:
         self._running = False
--- a/packages/loomyard-standins/src/loomyard_standins/share_driver.py
+++ b/packages/loomyard-standins/src/loomyard_standins/share_driver.py
@@ -1,4 +1,4 @@
-"""Drive share policies over virtual time, to compare them in seconds of real time."""
+"""Simulation of share policies in virtual time, to compare them within seconds."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 from loomyard_router.shares.waiting import WaitingRequest
 from loomyard_router.targets.directory import ConfiguredTargets, make_configured_targets
 from loomyard_standins.immediate_result import ImmediateResult
+from loomyard_standins.policy_metrics import PolicyMetrics
 from loomyard_standins.share_attempt import LINK_DELAY, ShareAttempt
-from loomyard_standins.share_figures import Figures
 from loomyard_standins.share_state import make_share_state
 from loomyard_standins.virtual_engine import VirtualEngine
 from loomyard_standins.virtual_time import Agenda, VirtualMembers, VirtualNetwork
@@ -38,13 +38,17 @@
     from loomyard_router.shares.policy import SharePolicy
     from loomyard_standins.share_load import Load
 
-SAMPLE_INTERVAL = 0.1
-DEADLINE = 1e9
-DETECTION_DELAY = 1.0
+SAMPLE_INTERVAL = 0.1  # seconds
+DEADLINE = 1e9  # seconds; never reached, so that no request times out
+DETECTION_DELAY = 1.0  # seconds until routers notice that others stopped, came back or are cut off
 
 
 class ShareDriver:
-    """Routers of one policy, engines of fixed speed and accounts with closed loops."""
+    """Simulated routers with one policy, engines of fixed speed and accounts with closed loops.
+
+    ``engines`` gives the number of engines and the slots of each by service. Metrics leave out
+    the first ``settle`` seconds.
+    """
 
     def __init__(
         self,
@@ -79,7 +83,7 @@
         self.gap = 0.0
         self.gap_at = (0.0, "", "")
         self.busy = 0.0
-        self.room = 0.0
+        self.capacity = 0.0
         self.excess = 0
         self.trace: list[tuple[float, dict[str, float]]] = []
         self._extremes: dict[tuple[str, str], tuple[float, float]] = {}
@@ -87,10 +91,10 @@
         self._generation = dict.fromkeys(range(self.count), 0)
         for position in range(self.count):
             self.start_router(position)
-        self.agree()
+        self.share_full_view()
 
     def start_router(self, position: int) -> None:
-        """Start a router empty."""
+        """Start a router without state."""
         self._generation[position] += 1
         generation = self._generation[position]
         member = Member(
@@ -120,22 +124,22 @@
         self.estimates[position] = CostEstimates()
 
     def kill_router(self, position: int) -> None:
-        """End a router; its callers turn to the next one; the others notice after a while."""
+        """Kill a router: callers move to the next, others notice after ``DETECTION_DELAY``."""
         self._generation[position] += 1
         self.network.links.pop(f"router-{position}", None)
         del self.policies[position]
         del self.members[position]
         for key in [key for key in self.open if key[0] == position]:
             self.open.pop(key)()
-        self.agenda.after(DETECTION_DELAY, self.agree)
+        self.agenda.after(DETECTION_DELAY, self.share_full_view)
 
     def restart_router(self, position: int) -> None:
-        """Start a killed router empty; the others notice after a while."""
+        """Start a killed router without state; the others notice after ``DETECTION_DELAY``."""
         self.start_router(position)
-        self.agenda.after(DETECTION_DELAY, self.agree)
+        self.agenda.after(DETECTION_DELAY, self.share_full_view)
 
     def change_target(self, name: str, state: TargetState, *, slots: int | None = None) -> None:
-        """Publish another state or number of slots of a target."""
+        """Change the state and, if given, the number of slots of a target on all routers."""
         target = self.routing.targets[name]
         changed = evolve(target, state=state, slots=slots or target.slots)
         self.state = self.state.replace(self.state.applied + 1, [changed], [])
@@ -145,11 +149,11 @@
             policy.reconfigure(self.routing)
 
     def find_allocator(self) -> int:
-        """Return the position of the allocator while all routers live."""
+        """Return the position of the allocator; valid while all routers are alive."""
         return int(find_allocator(self.members[0]).rpartition("-")[2])
 
     def cut(self, side: set[int]) -> None:
-        """Cut a side off; each side comes to believe the other dead."""
+        """Partition the network: after ``DETECTION_DELAY`` each side takes the other for dead."""
         names = {f"router-{position}" for position in side}
         self.network.cuts = {
             frozenset((name, other))
@@ -160,12 +164,12 @@
         self.agenda.after(DETECTION_DELAY, lambda: self._split(side))
 
     def heal(self) -> None:
-        """Mend the cut."""
+        """End the partition."""
         self.network.cuts = set()
-        self.agenda.after(DETECTION_DELAY, self.agree)
+        self.agenda.after(DETECTION_DELAY, self.share_full_view)
 
-    def resettle(self, seconds: float = 2.0) -> None:
-        """Leave the next seconds out of the figures."""
+    def restart_warm_up(self, seconds: float = 2.0) -> None:
+        """Leave the next seconds out of the metrics and measure the gap anew from there."""
         self.settle = self.agenda.now() + seconds
         self._extremes = {}
 
@@ -176,24 +180,24 @@
             ]
             members.set_view(near)
 
-    def agree(self) -> None:
-        """Let all routers know of all."""
+    def share_full_view(self) -> None:
+        """Give every router a membership view with all routers."""
         view = [members.own for members in self.members.values()]
         for members in self.members.values():
             members.set_view(view)
 
-    def run(self, seconds: float) -> Figures:
-        """Run and return the figures."""
+    def run(self, seconds: float) -> PolicyMetrics:
+        """Run for some seconds of virtual time and return the metrics."""
         for load in self.loads:
             for number in range(load.outstanding):
                 self._launch(load, number)
         self.agenda.every(SAMPLE_INTERVAL, self._sample)
         self.agenda.run(seconds)
         sent, size = self.network.messages, self.network.bytes
-        return Figures(
+        return PolicyMetrics(
             policy=self.policy,
             gap=round(self.gap),
-            utilisation=round(100 * self.busy / max(1e-9, self.room), 3),
+            utilisation=round(100 * self.busy / max(1e-9, self.capacity), 3),
             messages=round(sum(sent.values()) / seconds / self.count, 2),
             bytes=round(sum(size.values()) / seconds / self.count),
             busiest_messages=round(max(sent.values(), default=0) / seconds, 2),
@@ -233,17 +237,17 @@
         )
         key = (load.account, load.service)
 
-        def again() -> None:
+        def resubmit() -> None:
             self._submit(load, number, until)
 
-        attempt = ShareAttempt(self, position, waiting, tokens, again)
+        attempt = ShareAttempt(self, position, waiting, tokens, resubmit)
         waiting.admitted = ImmediateResult(attempt.begin)
         self.waiting[key] += 1
         self.open[position, waiting.request_id] = attempt.abandon
         if self.policies[position].submit(waiting).is_err():
             self.waiting[key] -= 1
             del self.open[position, waiting.request_id]
-            self.agenda.after(1.0, again)
+            self.agenda.after(1.0, resubmit)
 
     def _next(self) -> int:
         self._number += 1
@@ -261,7 +265,7 @@
             self.excess = max(self.excess, len(engine.queue))
             if wanted & set(self.routing.targets[name].services):
                 self.busy += engine.running
-                self.room += engine.slots
+                self.capacity += engine.slots
 
     def _sample_gap(self) -> None:
         backlogged = sorted({account for (account, _), n in self.waiting.items() if n > 0})
--- a/packages/loomyard-standins/src/loomyard_standins/share_load.py
+++ b/packages/loomyard-standins/src/loomyard_standins/share_load.py
@@ -1,4 +1,4 @@
-"""The load of one account on share policies."""
+"""Simulated load of one client account."""
 
 from __future__ import annotations
 
@@ -7,7 +7,11 @@
 
 @frozen(kw_only=True)
 class Load:
-    """What an account sends: ``outstanding`` requests at all times between its ``spans``."""
+    """Closed-loop load of an account on a service.
+
+    Within each of the ``spans`` (begin and end in seconds) it keeps ``outstanding`` requests open,
+    with ``mean`` tokens each on average, spread over the positions in ``routers``.
+    """
 
     account: str
     service: str
--- a/packages/loomyard-standins/src/loomyard_standins/share_rounds.py
+++ b/packages/loomyard-standins/src/loomyard_standins/share_rounds.py
@@ -1,4 +1,4 @@
-"""Compare the share policies in virtual time: ``python -m loomyard_standins.share_rounds``."""
+"""Comparison of the share policies: ``python -m loomyard_standins.share_rounds``."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 def one_service_loads(seed: int) -> list[Load]:
-    """Return 16 accounts that are always backlogged, each sticky on one or two routers."""
-    chance = random.Random(seed)
+    """Return 16 accounts with a constant backlog, each using one or two fixed routers."""
+    rng = random.Random(seed)
     loads = []
     for number in range(ACCOUNTS):
         mean = 150 * (2000 / 150) ** (number / (ACCOUNTS - 1))
-        routers = tuple(chance.sample(range(ROUTERS), chance.choice((1, 2))))
+        routers = tuple(rng.sample(range(ROUTERS), rng.choice((1, 2))))
         loads.append(
             Load(
                 account=f"account-{number}", service="s", mean=mean, outstanding=30, routers=routers
@@ -36,13 +36,13 @@
 
 def many_service_loads(seed: int) -> list[Load]:
     """Return 16 accounts over 6 language and 3 plain services, most of them on several."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     loads = []
     for number in range(ACCOUNTS):
         mean = 150 * (2000 / 150) ** (number / (ACCOUNTS - 1))
-        routers = tuple(chance.sample(range(ROUTERS), chance.choice((1, 2))))
-        services = chance.sample(LANGUAGE_SERVICES, chance.choice((1, 2, 3)))
-        services += chance.sample(PLAIN_SERVICES, chance.choice((0, 1)))
+        routers = tuple(rng.sample(range(ROUTERS), rng.choice((1, 2))))
+        services = rng.sample(LANGUAGE_SERVICES, rng.choice((1, 2, 3)))
+        services += rng.sample(PLAIN_SERVICES, rng.choice((0, 1)))
         for service in services:
             plain = service in PLAIN_SERVICES
             loads.append(
@@ -58,12 +58,12 @@
 
 
 def idle_loads(seed: int) -> list[Load]:
-    """Return 16 accounts of which half go idle and come back, each at its own times."""
-    chance = random.Random(seed)
+    """Return 16 accounts; every other one alternates 7 s of load, 5 s idle at its own times."""
+    rng = random.Random(seed)
     loads = []
     for number, load in enumerate(one_service_loads(seed)):
         if number % 2:
-            begin = chance.uniform(0, 5)
+            begin = rng.uniform(0, 5)
             spans = tuple((begin + 12 * n, begin + 12 * n + 7) for n in range(10))
             load = attrs.evolve(load, spans=spans)
         loads.append(load)
@@ -71,20 +71,20 @@
 
 
 def kill(driver: ShareDriver) -> None:
-    """Kill a router, then the allocator, and start them again empty."""
+    """Kill a router, later the allocator, and restart each without state after 7 s."""
     for at, position in ((20.0, 0), (40.0, driver.find_allocator())):
         driver.agenda.after(at, lambda position=position: driver.kill_router(position))
-        driver.agenda.after(at, driver.resettle)
+        driver.agenda.after(at, driver.restart_warm_up)
         driver.agenda.after(at + 7, lambda position=position: driver.restart_router(position))
-        driver.agenda.after(at + 7, driver.resettle)
+        driver.agenda.after(at + 7, driver.restart_warm_up)
 
 
 def partition(driver: ShareDriver) -> None:
     """Cut three routers off for 10 seconds."""
     driver.agenda.after(20.0, lambda: driver.cut({0, 1, 2}))
     driver.agenda.after(30.0, driver.heal)
-    # What a side could not know is not held against it; what counts is the time after the cut.
-    driver.agenda.after(20.0, lambda: driver.resettle(DETECTION_DELAY + 12.0))
+    # During the cut a side lacks the usage of the other, so only the time after it is measured.
+    driver.agenda.after(20.0, lambda: driver.restart_warm_up(DETECTION_DELAY + 12.0))
 
 
 LANGUAGE_SERVICES = [f"language-{number}" for number in range(6)]
@@ -103,7 +103,7 @@
 
 
 def main() -> None:
-    """Run the scenarios and print one line for each run."""
+    """Run the scenarios and print one JSON line of metrics for each run."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--policies", default="single,local,fifo,fleet")
     parser.add_argument("--scenarios", default=",".join(SCENARIOS))
@@ -113,18 +113,18 @@
     for scenario in options.scenarios.split(","):
         for policy in options.policies.split(","):
             for seed in range(1, options.seeds + 1):
-                figures = run(scenario, policy, seed, options.seconds)
-                print(json.dumps({"scenario": scenario, "seed": seed, **figures}), flush=True)
+                metrics = run(scenario, policy, seed, options.seconds)
+                print(json.dumps({"scenario": scenario, "seed": seed, **metrics}), flush=True)
 
 
 def run(scenario: str, policy: str, seed: int, seconds: float) -> dict[str, object]:
-    """Run a scenario."""
+    """Run a scenario with a policy; return its metrics by name."""
     make_loads, engines, plan = SCENARIOS[scenario]
     driver = ShareDriver(policy, make_loads(seed), engines=engines, seed=seed)
     if policy != "single":
         plan(driver)
-    figures = driver.run(seconds)
-    return attrs.asdict(figures)
+    metrics = driver.run(seconds)
+    return attrs.asdict(metrics)
 
 
 if __name__ == "__main__":
--- a/packages/loomyard-standins/src/loomyard_standins/share_state.py
+++ b/packages/loomyard-standins/src/loomyard_standins/share_state.py
@@ -1,4 +1,4 @@
-"""The configuration that share policies are driven with."""
+"""Configuration for the simulation of share policies."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def make_share_state(loads: list[Load], engines: dict[str, tuple[int, int]]) -> ConfigState:
-    """Return the state of the accounts of some loads and of engines (count, slots) a service."""
+    """Return a state with the accounts of the loads and, by service, (count, slots) of engines."""
     weights = {load.account: load.weight for load in loads}
     objects: list[ConfigObject] = [
         ClientAccount(metadata=Metadata(name=name), weight=weight)
--- a/packages/loomyard-standins/src/loomyard_standins/soak.py
+++ b/packages/loomyard-standins/src/loomyard_standins/soak.py
@@ -1,4 +1,4 @@
-"""Soak: many drawn sequences of faults in several processes; the last line is JSON."""
+"""Soak test: random sequences of faults in several processes; the last line is JSON."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 SEQUENCES = 2000
 WORKERS = 4
-SECONDS = 280.0
+WORKER_SECONDS = 280.0  # a worker starts no sequence later than this
 SHOWN_VIOLATIONS = 3
 
 
 def main() -> int:
-    """Run the sequences of a seed; fail with any violation."""
+    """Run the sequences of a seed; fail on any violation or sequence not run."""
     arguments = _parse()
     if arguments.worker is not None:
         return _work(arguments)
@@ -41,8 +41,8 @@
             counts[name] += count
     seconds = round(time.monotonic() - started, 1)
     print(json.dumps({"seed": arguments.seed, **counts, "seconds": seconds}), flush=True)
-    whole = counts["sequences"] == arguments.sequences
-    return 0 if whole and not counts["violations"] else 1
+    complete = counts["sequences"] == arguments.sequences
+    return 0 if complete and not counts["violations"] else 1
 
 
 def _parse() -> argparse.Namespace:
@@ -50,8 +50,8 @@
     parser.add_argument("--seed", type=int, default=random.SystemRandom().randrange(2**32))
     parser.add_argument("--sequences", type=int, default=SEQUENCES)
     parser.add_argument("--workers", type=int, default=WORKERS)
-    parser.add_argument("--worker", type=int, help="run the part of one worker")
-    parser.add_argument("--only", type=int, help="run the sequence of this number")
+    parser.add_argument("--worker", type=int, help="run only the sequences of this worker")
+    parser.add_argument("--only", type=int, help="run only the sequence with this number")
     return parser.parse_args()
 
 
@@ -66,7 +66,7 @@
 
 def _work(arguments: argparse.Namespace) -> int:
     logging.disable(logging.CRITICAL)
-    until = time.monotonic() + SECONDS
+    until = time.monotonic() + WORKER_SECONDS
     counts = {"sequences": 0, "faults": 0, "violations": 0}
     for number in range(arguments.worker, arguments.sequences, arguments.workers):
         if time.monotonic() > until:
--- a/packages/loomyard-standins/src/loomyard_standins/stepped_clock.py
+++ b/packages/loomyard-standins/src/loomyard_standins/stepped_clock.py
@@ -1,4 +1,4 @@
-"""A clock for tasks of which a run makes every sleep in order, without waiting."""
+"""Simulated clock on which sleeping tasks run in order of time, without real waiting."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 import gevent
 from gevent.event import Event
 
-# How often ready tasks get a turn before time moves on; what one of them wakes runs in the next.
-TURNS = 8
+# Event loop passes before time moves on; a task woken in one pass runs in the next.
+PASSES_PER_STEP = 8
 
 
 class SteppedClock:
-    """A clock that jumps from the end of one sleep to the next while ``run`` is called."""
+    """Clock that jumps from the end of one sleep to the next during ``run``."""
 
     def __init__(self, *, wall: float = 1_000_000.0) -> None:
         self._now = 0.0
@@ -33,14 +33,14 @@
         woken.wait()
 
     def run(self, until: float) -> None:
-        """Let tasks run until a time; none of them may wait for anything but this clock."""
-        self._give_turns()
+        """Run tasks until a time on this clock; they may block on nothing else."""
+        self._run_ready_tasks()
         while self._sleepers and self._sleepers[0][0] <= until:
             self._now, _, woken = heapq.heappop(self._sleepers)
             woken.set()
-            self._give_turns()
+            self._run_ready_tasks()
         self._now = until
 
-    def _give_turns(self) -> None:
-        for _ in range(TURNS):
+    def _run_ready_tasks(self) -> None:
+        for _ in range(PASSES_PER_STEP):
             gevent.sleep(0)
--- a/packages/loomyard-standins/src/loomyard_standins/tables.py
+++ b/packages/loomyard-standins/src/loomyard_standins/tables.py
@@ -1,4 +1,4 @@
-"""Tables of result codes, log events and settings, written into the docs."""
+"""Generator of the reference pages on result codes, log events and settings."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def make_tables() -> dict[str, str]:
-    """Return the text of each generated page by its file name."""
+    """Return the text of each generated page by file name."""
     return {
         "RESULT-CODES.md": NOTICE + _codes(),
         "LOG-EVENTS.md": NOTICE + _events(),
@@ -69,7 +69,7 @@
 
 
 def main() -> int:
-    """Write the tables into a folder."""
+    """Write the generated pages into the folder given as argument."""
     parser = argparse.ArgumentParser()
     parser.add_argument("folder", type=Path)
     folder = parser.parse_args().folder
--- a/packages/loomyard-standins/src/loomyard_standins/testing.py
+++ b/packages/loomyard-standins/src/loomyard_standins/testing.py
@@ -1,4 +1,4 @@
-"""Run the tests in some processes and close with the line that counts them."""
+"""Test runner in several processes; the last line of its output counts the tests."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from attrs import define, field  # noqa: E402
 from result import Err, Ok  # noqa: E402
 
-from loomyard_standins.known_red import FILE_NAME, read_known_red, sort_known_red  # noqa: E402
+from loomyard_standins.known_red import FILE_NAME, classify_known_red, read_known_red  # noqa: E402
 
 PART_FLAG = "--part"
-MOST_PROCESSES = 6
+MAX_PROCESSES = 6
 
 
 class RecordingResult(unittest.TextTestResult):
-    """A result that keeps the ids of the tests that ran."""
+    """Test result that also keeps the ids of the tests that ran."""
 
     def __init__(self, *arguments: object, **options: object) -> None:
         super().__init__(*arguments, **options)  # type: ignore[arg-type]
@@ -37,14 +37,14 @@
 
     @property
     def failed(self) -> set[str]:
-        """Return the ids of the tests that failed; a sub-test counts for its test."""
-        bad = [test for test, _ in [*self.failures, *self.errors]] + self.unexpectedSuccesses
-        return {getattr(test, "test_case", test).id() for test in bad}
+        """Return the ids of the failed tests; a failed sub-test counts as its test."""
+        failures = [test for test, _ in [*self.failures, *self.errors]] + self.unexpectedSuccesses
+        return {getattr(test, "test_case", test).id() for test in failures}
 
 
 @define
 class Outcome:
-    """What the tests of one or more processes came to."""
+    """Combined results of the tests of one or more processes."""
 
     run: int = 0
     skipped: int = 0
@@ -52,7 +52,7 @@
     failed: set[str] = field(factory=set)
 
     def add(self, document: dict) -> None:
-        """Add the outcome that a process wrote."""
+        """Add the JSON document that a test process wrote."""
         self.run += document["run"]
         self.skipped += document["skipped"]
         self.ran |= set(document["ran"])
@@ -70,29 +70,29 @@
         case Ok(known):
             pass
     outcome, broken = _run_parts(sys.argv[1])
-    found = sort_known_red(known, outcome.ran, outcome.failed)
-    for entry in found.red:
+    report = classify_known_red(known, outcome.ran, outcome.failed)
+    for entry in report.red:
         print(f"known red: {entry.test}: {entry.cause} ({entry.issue})")
-    for entry in found.green:
+    for entry in report.green:
         print(f"listed as known red, but passes: {entry.test} ({entry.issue})")
-    for entry in found.not_run:
+    for entry in report.not_run:
         print(f"listed as known red, but there is no such test: {entry.test}")
     for part in broken:
         print(f"part {part} of the tests ended without a result")
-    failed, skipped, red = len(found.unexpected) + len(broken), outcome.skipped, len(found.red)
-    passed = outcome.run - len(found.unexpected) - skipped - red
+    failed, skipped, red = len(report.unexpected) + len(broken), outcome.skipped, len(report.red)
+    passed = outcome.run - len(report.unexpected) - skipped - red
     if red:
         print(f"{red} known red, neither passed nor failed")
-    # The last line has the one form that CI reads.
+    # CI parses the last line.
     line = f"{passed} passed, {failed} failed"
     line += f", {skipped} skipped" if skipped else ""
     print(line, flush=True)
-    return 1 if failed or found.not_run or not outcome.run else 0
+    return 1 if failed or report.not_run or not outcome.run else 0
 
 
 def _run_parts(folder: str) -> tuple[Outcome, list[int]]:
-    """Run each part in a process; return the sum and the parts that ended without a result."""
-    count = min(MOST_PROCESSES, os.cpu_count() or 1)
+    """Run each part in a process; return the total and the parts that ended without a result."""
+    count = min(MAX_PROCESSES, os.cpu_count() or 1)
     outcome = Outcome()
     broken = []
     with tempfile.TemporaryDirectory() as scratch:
@@ -128,18 +128,18 @@
 
 
 def _by_fixture(suite: unittest.TestSuite) -> dict[str, list[unittest.TestCase]]:
-    """Group tests, in their order, that share what their class sets up."""
-    found: dict[str, list[unittest.TestCase]] = {}
+    """Group the tests of each class that has ``setUpClass``; other tests stand alone."""
+    groups: dict[str, list[unittest.TestCase]] = {}
     for item in suite:
         if isinstance(item, unittest.TestSuite):
             for name, tests in _by_fixture(item).items():
-                found.setdefault(name, []).extend(tests)
+                groups.setdefault(name, []).extend(tests)
         else:
-            kind = type(item)
-            shared = kind.setUpClass.__func__ is not unittest.TestCase.setUpClass.__func__
-            name = f"{kind.__module__}.{kind.__qualname__}" if shared else item.id()
-            found.setdefault(name, []).append(item)
-    return found
+            test_class = type(item)
+            shared = test_class.setUpClass.__func__ is not unittest.TestCase.setUpClass.__func__
+            name = f"{test_class.__module__}.{test_class.__qualname__}" if shared else item.id()
+            groups.setdefault(name, []).append(item)
+    return groups
 
 
 if __name__ == "__main__":
--- a/packages/loomyard-standins/src/loomyard_standins/virtual_engine.py
+++ b/packages/loomyard-standins/src/loomyard_standins/virtual_engine.py
@@ -1,4 +1,4 @@
-"""An engine of fixed speed in virtual time."""
+"""Engine of fixed speed in virtual time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @define(eq=False)
 class VirtualEngine:
-    """Its slots, what runs and what waits for a slot."""
+    """Slots of an engine, the number of running requests and a queue of those to start."""
 
     slots: int
     running: int = 0
--- a/packages/loomyard-standins/src/loomyard_standins/virtual_time.py
+++ b/packages/loomyard-standins/src/loomyard_standins/virtual_time.py
@@ -1,4 +1,4 @@
-"""Virtual time for deterministic runs: a clock, an agenda, links and members without tasks."""
+"""Deterministic simulation in virtual time: event queue, links and membership without tasks."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Agenda:
-    """A clock that jumps from one planned call to the next."""
+    """Event queue and clock: time jumps from one scheduled call to the next."""
 
     def __init__(self) -> None:
         self._now = 0.0
@@ -35,12 +35,12 @@
         raise NotImplementedError("virtual time has no tasks")
 
     def after(self, seconds: float, call: Callable[[], None]) -> None:
-        """Plan a call."""
+        """Schedule a call in some seconds."""
         self._count += 1
         heapq.heappush(self._calls, (self._now + seconds, self._count, call))
 
     def every(self, seconds: float, call: Callable[[], bool | None]) -> None:
-        """Plan a call again and again, until it returns false."""
+        """Schedule a call at an interval in seconds, until it returns false."""
 
         def repeat() -> None:
             if call() is not False:
@@ -49,7 +49,7 @@
         self.after(seconds, repeat)
 
     def run(self, until: float) -> None:
-        """Make all calls up to a time."""
+        """Make all calls due up to a time, in order."""
         while self._calls and self._calls[0][0] <= until:
             self._now, _, call = heapq.heappop(self._calls)
             call()
@@ -57,7 +57,12 @@
 
 
 class VirtualNetwork:
-    """Links with a delay; cuts, loss, doubles and disorder; what was sent is counted by router."""
+    """Links between routers, with counts of sent messages and bytes by router.
+
+    Injected faults: ``cuts`` separates pairs; ``loss`` and ``doubled`` are the probabilities that
+    a message is lost or arrives twice; ``jitter`` adds up to that many seconds to the ``delay`` of
+    each copy, which also reorders messages.
+    """
 
     def __init__(self, agenda: Agenda, *, delay: float, seed: int = 0) -> None:
         self.loss = 0.0
@@ -72,12 +77,12 @@
         self._random = random.Random(seed)
 
     def join(self, member: Member) -> VirtualPeers:
-        """Make the links of a router."""
+        """Add a router and return its links."""
         self.links[member.name] = VirtualPeers(self, member)
         return self.links[member.name]
 
     def deliver(self, sender: Member, to: str, message: Any) -> bool:
-        """Send a message on its way."""
+        """Schedule the arrival of a message, unless a fault drops it."""
         data = pack(message)
         self.messages[sender.name] = self.messages.get(sender.name, 0) + 1
         self.bytes[sender.name] = self.bytes.get(sender.name, 0) + len(data)
@@ -96,7 +101,7 @@
 
 
 class VirtualPeers:
-    """The ``PeerLinks`` of one router in a ``VirtualNetwork``."""
+    """``PeerLinks`` of one router in a ``VirtualNetwork``."""
 
     def __init__(self, network: VirtualNetwork, member: Member) -> None:
         self._network = network
@@ -113,7 +118,7 @@
         self._handlers[kind] = handler
 
     def receive(self, sender: Member, message: Any) -> None:
-        """Give a message to its handler."""
+        """Pass a message to the handler of its type."""
         self._handlers[type(message)](sender, message)
 
     def start(self) -> None:
@@ -124,7 +129,7 @@
 
 
 class VirtualMembers:
-    """A ``Membership`` whose view the run sets."""
+    """``Membership`` whose view is set by the simulation."""
 
     def __init__(self, own: Member) -> None:
         self._own = own
@@ -149,7 +154,7 @@
         self._listeners.append(changed)
 
     def set_view(self, members: list[Member]) -> None:
-        """Replace the view."""
+        """Replace the live members and notify the listeners; earlier ones can still be found."""
         self._view = tuple(sorted(members, key=lambda member: member.name))
         self._remembered |= {member.name: member for member in members}
         for listener in self._listeners:
@@ -161,7 +166,7 @@
     def announce(self, topic: str, key: str, value: int, *, until: float) -> None:
         pass
 
-    def subscribe_topic(self, topic: str, heard: Callable[[str, int], None]) -> None:
+    def subscribe_topic(self, topic: str, received: Callable[[str, int], None]) -> None:
         pass
 
     def leave(self) -> None:
--- a/packages/loomyard-standins/src/loomyard_standins/vm_list.py
+++ b/packages/loomyard-standins/src/loomyard_standins/vm_list.py
@@ -1,4 +1,4 @@
-"""A VM list that lags."""
+"""VM list that can lag behind the VMs, in memory and over HTTP."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class MemoryVmList:
-    """The VMs as set; ``published`` lags until ``publish`` is called."""
+    """VM list whose readers see changes of ``vms`` only after ``publish``; ``down`` fails reads."""
 
     def __init__(self) -> None:
         self.vms: list[Vm] = []
@@ -25,7 +25,7 @@
         self._published: list[Vm] = []
 
     def publish(self) -> None:
-        """Let readers see the VMs as they are now."""
+        """Make the current VMs visible to readers."""
         self._published = list(self.vms)
 
     def read(self) -> Result[list[Vm], Fault]:
@@ -35,7 +35,7 @@
 
 
 class VmListServer(ServedStandin):
-    """A ``MemoryVmList`` over HTTP."""
+    """HTTP server for a ``MemoryVmList``."""
 
     def __init__(self, vm_list: MemoryVmList, listen: tuple[str, int] = LOOPBACK) -> None:
         self.vm_list = vm_list
--- a/packages/loomyard-standins/src/loomyard_standins/weight_store.py
+++ b/packages/loomyard-standins/src/loomyard_standins/weight_store.py
@@ -1,4 +1,4 @@
-"""A weight store with a rate limit."""
+"""Weight store with a rate limit, in memory and over HTTP."""
 
 from __future__ import annotations
 
@@ -17,29 +17,29 @@
 
 
 class LimitedWeightStore:
-    """Allow one load in an interval of some seconds."""
+    """Weight store that allows one model load per ``interval`` seconds."""
 
     def __init__(self, clock: Clock, *, interval: float) -> None:
         self._clock = clock
         self._interval = interval
-        self._next = clock.now()
+        self._next_load_at = clock.now()
 
     def reserve(self, model: str) -> Result[float, Fault]:
         now = self._clock.now()
-        if now < self._next:
+        if now < self._next_load_at:
             return Err(
                 Fault(
                     code=ResultCode.WEIGHT_STORE_LIMITED,
-                    detail=f"no load of {model!r} yet",
-                    retry_after=self._next - now,
+                    detail=f"rate limit: {model!r} can't be loaded yet",
+                    retry_after=self._next_load_at - now,
                 )
             )
-        self._next = now + self._interval
+        self._next_load_at = now + self._interval
         return Ok(now)
 
 
 class WeightStoreServer(ServedStandin):
-    """A ``LimitedWeightStore`` over HTTP."""
+    """HTTP server for a ``LimitedWeightStore``."""
 
     def __init__(self, store: LimitedWeightStore, listen: tuple[str, int] = LOOPBACK) -> None:
         self.store = store
--- a/packages/loomyard-standins/src/loomyard_standins/wire_names.py
+++ b/packages/loomyard-standins/src/loomyard_standins/wire_names.py
@@ -1,4 +1,4 @@
-"""Check that the platform's names stand in the adapter's folder alone."""
+"""Check that names of the platform's protocol occur only in the folder of its adapter."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 PACKAGES = ("loomyard", "loomyard-router", "loomyardctl")
 ADAPTER = "loomyard_router/platform"
 ADAPTER_MODULE = "loomyard_router.platform"
-# Headers, paths, topics and fields of the platform's pages that no name of ours equals.
+# Headers, paths, topics and fields of the platform that equal no name of this project.
 WIRE = re.compile(
     r"Loomyard-(?:Attempt-Id|Deadline-Ms|Tenant|Token-Usage|Prompt-Prefix|Length-Hint"
     r"|Expect-|Not-Executed|Server-Stamp|Instance-Id|Model|Weight-Versions|Pin-Ms|Hold|Kv-)"
@@ -25,31 +25,31 @@
 
 
 @frozen(kw_only=True)
-class Stray:
-    """A place where the platform shows outside its adapter."""
+class LeakedName:
+    """Use of a platform name, or import of the adapter, outside the adapter."""
 
     path: Path
     line: int
     text: str
 
     def __str__(self) -> str:
-        return f"{self.path}:{self.line}: the platform's name or adapter: {self.text}"
+        return f"{self.path}:{self.line}: platform name or import outside the adapter: {self.text}"
 
 
-def find_strays(root: Path) -> list[Stray]:
-    """Return names of the wire and imports of the adapter in the packages below a folder."""
-    strays = []
+def find_leaked_names(root: Path) -> list[LeakedName]:
+    """Return the platform names and adapter imports in the packages below a folder."""
+    leaks = []
     for package in PACKAGES:
         for path in sorted((root / package / "src").rglob("*.py")):
             if ADAPTER not in path.as_posix():
-                strays += find_in_source(path, path.read_text(encoding="utf-8"))
-    return strays
+                leaks += find_in_source(path, path.read_text(encoding="utf-8"))
+    return leaks
 
 
-def find_in_source(path: Path, source: str) -> list[Stray]:
-    """Return the strays of one module."""
-    strays = [
-        Stray(path=path, line=number, text=found[0])
+def find_in_source(path: Path, source: str) -> list[LeakedName]:
+    """Return the platform names and adapter imports in the source of one module."""
+    leaks = [
+        LeakedName(path=path, line=number, text=found[0])
         for number, line in enumerate(source.splitlines(), 1)
         if (found := WIRE.search(line))
     ]
@@ -60,20 +60,20 @@
             names = [alias.name for alias in node.names]
         else:
             continue
-        strays += [
-            Stray(path=path, line=node.lineno, text=name)
+        leaks += [
+            LeakedName(path=path, line=node.lineno, text=name)
             for name in names
             if name.startswith(ADAPTER_MODULE)
         ]
-    return strays
+    return leaks
 
 
 def main() -> int:
-    """Print the strays below a folder; fail where there are any."""
-    strays = find_strays(Path(sys.argv[1]))
-    for stray in strays:
-        print(stray)
-    return 1 if strays else 0
+    """Print all findings below the folder given as argument; fail if there are any."""
+    leaks = find_leaked_names(Path(sys.argv[1]))
+    for leak in leaks:
+        print(leak)
+    return 1 if leaks else 0
 
 
 if __name__ == "__main__":
--- a/tests/test_loomyard_router/test_config_distribution.py
+++ b/tests/test_loomyard_router/test_config_distribution.py
@@ -29,7 +29,7 @@
 from loomyard.objects import ClientAccount, Metadata, ObjectRef
 from loomyard_router.configuration.log_snapshots import LogSnapshots
 from loomyard_router.configuration.task_loop import FAILURE_PAUSE_SECONDS
-from loomyard_standins.config_fleet import RETENTION, ConfigFleet
+from loomyard_standins.config_fleet import RETENTION_SECONDS, ConfigFleet
 
 
 class DistributionTest(unittest.TestCase):
@@ -167,7 +167,7 @@
         written = check()
         self.assertEqual(sum(written), 1)
         self.assertEqual(check(), [False] * 3)
-        fleet.clock.advance(RETENTION / 4)
+        fleet.clock.advance(RETENTION_SECONDS / 4)
         self.assertEqual(check(), written)
         self.assertEqual(LogSnapshots(fleet.log).find(0), fleet.fold_all().advance(3))
 
--- a/tests/test_loomyard_router/test_feeds/feed_case.py
+++ b/tests/test_loomyard_router/test_feeds/feed_case.py
@@ -13,7 +13,7 @@
 from loomyard_router.feeds.keyed_record import KeyedRecord
 from loomyard_router.feeds.record_consumer import STORE
 from loomyard_router.members.membership import Member, SoleMembership
-from loomyard_standins.stepped_clock import TURNS
+from loomyard_standins.stepped_clock import PASSES_PER_STEP
 
 if TYPE_CHECKING:
     from loomyard_standins.fake_clock import FakeClock
@@ -97,5 +97,5 @@
 def pass_time(clock: FakeClock, seconds: float) -> None:
     """Move the clock and let tasks run until all of them wait again."""
     clock.advance(seconds)
-    for _ in range(TURNS):
+    for _ in range(PASSES_PER_STEP):
         gevent.sleep(0)
--- a/tests/test_loomyard_router/test_feeds/test_store_outages.py
+++ b/tests/test_loomyard_router/test_feeds/test_store_outages.py
@@ -90,7 +90,7 @@
     def test_connections_that_stop_answering_keep_the_bound(self) -> None:
         fleet = self.start(7)
         for store in fleet.stores.values():
-            store.mute()
+            store.hang_connections()
         self.assertLessEqual(self.longest_of_changes(fleet), BOUND)
 
     def test_a_fleet_with_few_readers_keeps_the_bound(self) -> None:
--- a/tests/test_loomyard_router/test_feeds/test_store_rollbacks.py
+++ b/tests/test_loomyard_router/test_feeds/test_store_rollbacks.py
@@ -55,7 +55,7 @@
             store.fail(fleet.routers, outage)
         fleet.run(AWAY)
         for store in fleet.stores.values():
-            lost = store.fall_back(COPY_AGE)
+            lost = store.roll_back(COPY_AGE)
             store.publish("key", value)
             rng.shuffle(lost)
             for record in lost:
@@ -65,7 +65,7 @@
                 store.publish(f"more-{number}", b"more")
         for store in fleet.stores.values():
             if trim:
-                store.cut_short()
+                store.trim_to_last()
             store.heal()
         return fleet.clock.now()
 
--- a/tests/test_loomyard_router/test_feeds/test_store_rollbacks_model.py
+++ b/tests/test_loomyard_router/test_feeds/test_store_rollbacks_model.py
@@ -55,7 +55,7 @@
         self.targets = 2
         # What writers want in the store, whatever it lost.
         self.wanted: dict[str, dict[str, bytes | None]] = {
-            feed: {one.key: one.value for one in store.newest()}
+            feed: {one.key: one.value for one in store.newest_records()}
             for feed, store in self.fleet.stores.items()
         }
         self.seen_versions: dict[str, int] = {}
@@ -141,7 +141,7 @@
         for store in self.fleet.stores.values():
             store.fail(self.fleet.routers, outage)
         self.fleet.run(outage_seconds)
-        lost = {feed: store.fall_back(age) for feed, store in self.fleet.stores.items()}
+        lost = {feed: store.roll_back(age) for feed, store in self.fleet.stores.items()}
         for feed, store in self.fleet.stores.items():
             for number in range(more):
                 store.publish(f"{'other' if feed == CONFIGURATION else 'north'}-x{number}", b"1")
@@ -160,8 +160,8 @@
     def quiet(self) -> None:
         """Wait until all routers are up to date, and compare them with the store."""
         self.fleet.run(QUIET)
-        tables = {one.key: one.value for one in self.fleet.stores[CONFIGURATION].newest()}
-        targets = {one.key: one.value for one in self.fleet.stores[TARGETS].newest()}
+        tables = {one.key: one.value for one in self.fleet.stores[CONFIGURATION].newest_records()}
+        targets = {one.key: one.value for one in self.fleet.stores[TARGETS].newest_records()}
         evacuated = {key.removeprefix(EVACUATION) for key in tables if key.startswith(EVACUATION)}
         usable = {
             key
--- a/tests/test_loomyard_router/test_orders/test_order_fencing.py
+++ b/tests/test_loomyard_router/test_orders/test_order_fencing.py
@@ -31,11 +31,11 @@
         self.run_for(BACKLOG_SECONDS - 2)
 
     def numbers(self) -> list[int]:
-        return [order.fencing for name in "abc" for order in self.engine(name).orders.taken]
+        return [order.fencing for name in "abc" for order in self.engine(name).orders.applied]
 
     def assert_numbers_ascend(self) -> None:
         for name in "abc":
-            taken = [order.fencing for order in self.engine(name).orders.taken]
+            taken = [order.fencing for order in self.engine(name).orders.applied]
             self.assertEqual(taken, sorted(taken))
 
     def pause_in_reserve(self, seconds: float) -> None:
--- a/tests/test_loomyard_router/test_shares/test_fleet.py
+++ b/tests/test_loomyard_router/test_shares/test_fleet.py
@@ -151,7 +151,7 @@
         self.check_limit(driver, SLOTS + SLOTS // 4, running=False)
         driver.agenda.after(25.0, driver.heal)
         # Fairness is compared only after the heal: detection takes one second, settling two.
-        driver.agenda.after(10.0, lambda: driver.resettle(18.0))
+        driver.agenda.after(10.0, lambda: driver.restart_warm_up(18.0))
         figures = driver.run(45.0)
         self.assertEqual(self.leased(driver), SLOTS)
         self.assertLess(figures.gap, 4000)
@@ -185,7 +185,7 @@
             spans=((0.0, 5.0), (20.0, 1e9)),
         )
         driver = make_driver(backlog("large", 0), backlog("kiosk", 1), idle)
-        driver.agenda.after(18.0, lambda: driver.resettle(3.0))
+        driver.agenda.after(18.0, lambda: driver.restart_warm_up(3.0))
         figures = driver.run(35.0)
         self.assertLess(figures.gap, 4000)
 
--- a/tests/test_loomyard_standins/test_engine.py
+++ b/tests/test_loomyard_standins/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-in engine over HTTP: cache events, orders, refusals."""
+"""Tests of the stand-in engine over HTTP: cache events, fencing of orders, refusals."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         answer.close()
         return answer
 
-    def test_cache_events_tell_stored_and_evicted(self) -> None:
+    def test_cache_events_for_stored_and_evicted_prefixes(self) -> None:
         server = self.start(cached_prefixes=1)
         for prompt in ("a", "a", "b"):
             self.complete(server, prompt)
@@ -49,7 +49,7 @@
         self.assertEqual(events[0].prefix, events[2].prefix)
         self.assertEqual((server.cache.hits, server.cache.misses), (1, 2))
 
-    def test_order_with_an_old_number(self) -> None:
+    def test_order_with_an_old_fencing_number(self) -> None:
         for checks in (True, False):
             server = self.start(checks_fencing=checks)
             old, new = (
@@ -65,7 +65,7 @@
             self.assertEqual("x" in report.models, not checks)
             self.assertEqual(self.complete(server, "p", "z").status, 404)
 
-    def test_a_leaving_engine_runs_nothing(self) -> None:
+    def test_leaving_engine_refuses_requests(self) -> None:
         server = self.start()
         server.leaving = True
         answer = self.complete(server, "a")
--- a/tests/test_loomyard_standins/test_requirements.py
+++ b/tests/test_loomyard_standins/test_requirements.py
@@ -1,4 +1,4 @@
-"""Test that the platform's build and the project use the same versions."""
+"""Test that the platform's build and the project pin the same versions."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TestRequirements(unittest.TestCase):
-    def test_the_platform_is_built_from_pinned_versions_of_ours(self) -> None:
+    def test_required_versions_are_pinned_in_constraints(self) -> None:
         pinned = set((ROOT / "constraints.txt").read_text().split())
         required = (ROOT / "deploy" / "requirements.txt").read_text().split()
         self.assertTrue(required)
--- a/tests/test_loomyard_standins/test_tables.py
+++ b/tests/test_loomyard_standins/test_tables.py
@@ -1,4 +1,4 @@
-"""Tests that the generated pages are current."""
+"""Tests of the generated reference pages and of the codes and events that they list."""
 
 from __future__ import annotations
 
--- a/tests/test_loomyard_standins/test_weight_store.py
+++ b/tests/test_loomyard_standins/test_weight_store.py
@@ -1,4 +1,4 @@
-"""Tests of the weight store over HTTP."""
+"""Tests of the rate-limited weight store over HTTP."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class WeightStoreTest(unittest.TestCase):
-    def test_limit_and_outage(self) -> None:
+    def test_rate_limit_and_outage(self) -> None:
         clock = FakeClock()
         server = WeightStoreServer(LimitedWeightStore(clock, interval=20.0))
         server.start()
--- a/tests/test_loomyard_standins/test_wire_names.py
+++ b/tests/test_loomyard_standins/test_wire_names.py
@@ -1,18 +1,18 @@
-"""Tests of the check that the platform's names stay in its adapter."""
+"""Tests of the check that platform names occur only in the adapter."""
 
 from __future__ import annotations
 
 import unittest
 from pathlib import Path
 
-from loomyard_standins.wire_names import find_in_source, find_strays
+from loomyard_standins.wire_names import find_in_source, find_leaked_names
 
 PATH = Path("module.py")
 PACKAGES = Path(__file__).parents[2] / "packages"
 
 
 class TestWireNames(unittest.TestCase):
-    def test_a_header_a_field_a_topic_and_an_import_are_found(self) -> None:
+    def test_headers_fields_topics_and_imports_are_found(self) -> None:
         sources = (
             'HEADER = "Loomyard-Tenant"',
             'HEADER = "loomyard-not-executed"',
@@ -25,12 +25,12 @@
             with self.subTest(source=source):
                 self.assertTrue(find_in_source(PATH, source))
 
-    def test_our_own_names_are_not(self) -> None:
+    def test_names_of_this_project_are_allowed(self) -> None:
         source = 'HEADER = "Loomyard-Attempt"\nimport platform\nprefix = route.prefix\n'
         self.assertEqual([], find_in_source(PATH, source))
 
-    def test_the_tree_has_none(self) -> None:
-        self.assertEqual([], find_strays(PACKAGES))
+    def test_packages_have_no_leaked_names(self) -> None:
+        self.assertEqual([], find_leaked_names(PACKAGES))
 
 
 if __name__ == "__main__":
