--- a/packages/loomyard-standins/src/loomyard_standins/config_fleet.py
+++ b/packages/loomyard-standins/src/loomyard_standins/config_fleet.py
@@ -113,7 +113,7 @@
         for part in parts:
             self.log.append(SNAPSHOT_STREAM, encode(part))
 
-    def grow(self, count: int) -> None:
+    def append_changes(self, count: int) -> None:
         """Append changes of one object, each based on the version before it."""
         newest = len(self.written) - 1
         for offset in range(newest, newest + count):
--- a/packages/loomyard-standins/src/loomyard_standins/engine.py
+++ b/packages/loomyard-standins/src/loomyard_standins/engine.py
@@ -52,7 +52,7 @@
 
     Prefill takes ``prefill_seconds`` before the first token, or ``CACHED_PREFILL_FRACTION`` of
     that if the prompt prefix is cached. Injected faults: ``leaving`` and ``failing`` refuse new
-    requests, ``load_silent`` fails load reports with status 503, ``load_lag`` is the age in
+    requests, ``load_unavailable`` fails load reports with status 503, ``load_lag`` is the age in
     seconds of the reported load.
     """
 
@@ -75,7 +75,7 @@
         self.load_lag = load_lag
         self.leaving = False
         self.failing = False
-        self.load_silent = False
+        self.load_unavailable = False
         self._samples: deque[tuple[float, dict[str, Any]]] = deque()
         self.step_seconds = step_seconds
         self.streams: OrderedDict[str, EngineStream] = OrderedDict()
@@ -212,7 +212,7 @@
         }
 
     def _report_load(self, start_response: Callable) -> Iterable[bytes]:
-        if self.load_silent:
+        if self.load_unavailable:
             start_response("503 Service Unavailable", [])
             return [b""]
         return _json(start_response, self._lagging_load())
--- a/packages/loomyard-standins/src/loomyard_standins/engine_cache.py
+++ b/packages/loomyard-standins/src/loomyard_standins/engine_cache.py
@@ -13,13 +13,13 @@
 class PrefixCache:
     """LRU cache of prompt prefixes that publishes what it stores and evicts.
 
-    Injected faults: the newest ``lag`` events are held back, and the next ``lose`` events are
-    never published, although each uses up a sequence number.
+    Injected faults: the newest ``lag`` events are held back, and the next ``lose_events`` events
+    are never published, although each uses up a sequence number.
     """
 
     def __init__(self, capacity: int = CAPACITY, max_events: int = MAX_EVENTS) -> None:
         self.lag = 0
-        self.lose = 0
+        self.lose_events = 0
         self.hits = 0
         self.misses = 0
         self._capacity = capacity
@@ -62,7 +62,7 @@
 
     def _publish(self, prefix: str, *, stored: bool) -> None:
         self._sequence += 1
-        if self.lose:
-            self.lose -= 1
+        if self.lose_events:
+            self.lose_events -= 1
             return
         self._events.append(CacheEvent(sequence=self._sequence, prefix=prefix, stored=stored))
--- a/packages/loomyard-standins/src/loomyard_standins/engine_orders.py
+++ b/packages/loomyard-standins/src/loomyard_standins/engine_orders.py
@@ -24,7 +24,7 @@
     refused: list[EngineOrder] = field(factory=list)
 
     def apply(self, order: EngineOrder) -> bool:
-        """Execute an order; return false if its fencing number is outdated and checked."""
+        """Execute an order; return false if its fencing number is checked and outdated."""
         if self.checks_fencing and order.fencing < self.highest_fencing:
             self.refused.append(order)
             return False
--- a/packages/loomyard-standins/src/loomyard_standins/fleet.py
+++ b/packages/loomyard-standins/src/loomyard_standins/fleet.py
@@ -79,8 +79,8 @@
         if settled is not None and settled.decision.verdict is not Verdict.ACCEPTED:
             raise ValueError(f"the change was rejected: {settled.decision}")
 
-    def list_vm(self, router: Application) -> None:
-        """Put the VM of a router on the VM list."""
+    def publish_vm(self, router: Application) -> None:
+        """Add the VM of a router to the VM list and publish the list."""
         own = router.components.members.own
         vm = Vm(name=own.name, data_centre=own.data_centre, address=own.address)
         self.vms.vm_list.vms.append(vm)
@@ -133,7 +133,7 @@
         router = make_application(settings)
         router.start()
         fleet.routers.append(router)
-        fleet.list_vm(router)
+        fleet.publish_vm(router)
     fleet.await_members()
     fleet.publish(sample_objects(fleet))
     fleet.await_claims()
--- a/packages/loomyard-standins/src/loomyard_standins/memory_store.py
+++ b/packages/loomyard-standins/src/loomyard_standins/memory_store.py
@@ -39,7 +39,7 @@
     def __init__(self, name: str, clock: Clock) -> None:
         self.name = name
         self.clock = clock
-        self.moved = Event()
+        self.changed = Event()
         self.connections = 0
         self.era = 0
         # Reads before this offset fail as trimmed; listings keep the newest record of each key.
@@ -104,8 +104,8 @@
         return len(self._records)
 
     def _wake(self) -> None:
-        moved, self.moved = self.moved, Event()
-        moved.set()
+        changed, self.changed = self.changed, Event()
+        changed.set()
 
 
 class MemoryStoreFeed:
@@ -136,7 +136,7 @@
             return self._fail(outage, wait_until + ANSWER_MARGIN_SECONDS)
         connections = store.connections
         while not store.records_from(offset) and clock.now() < wait_until:
-            wait_any([store.moved], wait_until, clock)
+            wait_any([store.changed], wait_until, clock)
             if store.outage(self._router) is Outage.RESET:
                 return self._fail(Outage.RESET, clock.now())
         if store.outage(self._router) is not None or store.connections != connections:
--- a/packages/loomyard-standins/src/loomyard_standins/plain_service.py
+++ b/packages/loomyard-standins/src/loomyard_standins/plain_service.py
@@ -18,13 +18,13 @@
 
     def __init__(self, *, seconds: float = 0.01, listen: tuple[str, int] = LOOPBACK) -> None:
         self.seconds = seconds
-        self.ran: list[tuple[str, str, bytes]] = []
+        self.executed: list[tuple[str, str, bytes]] = []
         super().__init__(listen, self._serve)
 
     def _serve(self, environ: dict[str, Any], start_response: Callable) -> Iterable[bytes]:
         body = environ["wsgi.input"].read()
-        self.ran.append((environ["REQUEST_METHOD"], environ["PATH_INFO"], body))
-        number = len(self.ran)
+        self.executed.append((environ["REQUEST_METHOD"], environ["PATH_INFO"], body))
+        number = len(self.executed)
         gevent.sleep(self.seconds)
         headers = [
             ("Content-Type", "application/json"),
--- a/packages/loomyard-standins/src/loomyard_standins/scripted_target.py
+++ b/packages/loomyard-standins/src/loomyard_standins/scripted_target.py
@@ -54,7 +54,7 @@
         return f"http://127.0.0.1:{self._server.server_port}"
 
     @property
-    def work(self) -> list[ReceivedCall]:
+    def work_calls(self) -> list[ReceivedCall]:
         """Return the received calls without cancels."""
         return [call for call in self.calls if not call.is_cancel]
 
--- a/tests/test_loomyard_router/test_config_distribution.py
+++ b/tests/test_loomyard_router/test_config_distribution.py
@@ -38,14 +38,14 @@
 
     def test_a_late_snapshot_of_a_paused_writer_is_not_adopted(self) -> None:
         fleet, router = self.fleet, self.fleet.start("a")
-        fleet.grow(3)
+        fleet.append_changes(3)
         router.follower.poll()
         late = pack(router.state, part_bytes=32)
         fleet.append_parts(late[:1])
-        fleet.grow(4)
+        fleet.append_changes(4)
         router.follower.poll()
         fleet.append_parts(pack(router.state))
-        fleet.grow(1)
+        fleet.append_changes(1)
         fleet.append_parts(late[1:])
         router.follower.poll()
         self.assertEqual(router.state, fleet.fold_all())
@@ -59,10 +59,10 @@
 
     def test_a_snapshot_older_than_the_trimmed_start_is_not_used(self) -> None:
         fleet, router = self.fleet, self.fleet.start("a")
-        fleet.grow(3)
+        fleet.append_changes(3)
         router.follower.poll()
         fleet.append_parts(pack(router.state))
-        fleet.grow(5)
+        fleet.append_changes(5)
         fleet.log.trim(CONFIG_STREAM, 4)
         fleet.network.leave("a")
         empty = fleet.start("b")
@@ -74,19 +74,19 @@
 
     def test_records_trimmed_before_they_were_read_come_from_a_peer(self) -> None:
         fleet, lagging, current = self.fleet, self.fleet.start("a"), self.fleet.start("b")
-        fleet.grow(2)
+        fleet.append_changes(2)
         lagging.follower.poll()
-        fleet.grow(4)
+        fleet.append_changes(4)
         current.follower.poll()
         fleet.log.trim(CONFIG_STREAM, 5)
-        fleet.grow(1)
+        fleet.append_changes(1)
         lagging.follower.poll()
         lagging.follower.poll()
         self.assertEqual(lagging.state, fleet.fold_all())
 
     def test_an_empty_router_starts_from_peers_while_the_log_is_down(self) -> None:
         fleet, router = self.fleet, self.fleet.start("a")
-        fleet.grow(4)
+        fleet.append_changes(4)
         router.follower.poll()
         fleet.log.down = True
         for records in (True, False):
@@ -102,9 +102,9 @@
 
     def test_a_router_partitioned_from_the_log_reads_records_from_peers(self) -> None:
         fleet, router, other = self.fleet, self.fleet.start("a"), self.fleet.start("b")
-        fleet.grow(2)
+        fleet.append_changes(2)
         router.follower.poll()
-        fleet.grow(2)
+        fleet.append_changes(2)
         other.follower.poll()
         self.assertTrue(router.peers.poll())
         self.assertEqual(router.state, fleet.fold_all())
@@ -112,7 +112,7 @@
 
     def test_records_applied_twice_change_nothing(self) -> None:
         fleet, router = self.fleet, self.fleet.start("a")
-        fleet.grow(3)
+        fleet.append_changes(3)
         router.follower.poll()
         before = router.state
         router.follower.replica.apply(fleet.log.read(CONFIG_STREAM, 0).unwrap().records)
@@ -120,10 +120,10 @@
 
     def test_the_state_of_a_stale_peer_is_not_adopted(self) -> None:
         fleet, router, stale = self.fleet, self.fleet.start("a"), self.fleet.start("b")
-        fleet.grow(2)
+        fleet.append_changes(2)
         stale.follower.poll()
         stale.follower.replica.tail.reset(stale.state.applied + 1)
-        fleet.grow(3)
+        fleet.append_changes(3)
         router.follower.poll()
         self.assertFalse(router.peers.poll())
         self.assertFalse(router.follower.replica.adopt_newer(stale.state))
@@ -131,7 +131,7 @@
 
     def test_a_log_that_lost_its_newest_records_reverts_nothing(self) -> None:
         fleet, router = self.fleet, self.fleet.start("a")
-        fleet.grow(4)
+        fleet.append_changes(4)
         router.follower.poll()
         before = router.state
         fleet.log.trim(CONFIG_STREAM, 4)
@@ -144,7 +144,7 @@
 
     def test_the_follower_continues_after_an_exception(self) -> None:
         fleet, router = self.fleet, self.fleet.start("a")
-        fleet.grow(1)
+        fleet.append_changes(1)
         router.follower.start()
         self.addCleanup(router.follower.stop)
         with mock.patch.object(fleet.log, "read", side_effect=RuntimeError):
@@ -157,7 +157,7 @@
     def test_one_router_writes_each_snapshot_that_is_due(self) -> None:
         fleet = self.fleet
         routers = [fleet.start(name) for name in "abc"]
-        fleet.grow(3)
+        fleet.append_changes(3)
 
         def check() -> list[bool]:
             for router in routers:
@@ -173,7 +173,7 @@
 
     def test_a_router_whose_digest_differs_from_the_snapshot_logs_it(self) -> None:
         fleet, right, wrong = self.fleet, self.fleet.start("a"), self.fleet.start("b")
-        fleet.grow(1)
+        fleet.append_changes(1)
         right.follower.poll()
         other = Put(object=ClientAccount(metadata=Metadata(name="other")))
         record = LogRecord(0, encode(Change(change_id="x", puts=[other])))
--- a/tests/test_loomyard_router/test_operators.py
+++ b/tests/test_loomyard_router/test_operators.py
@@ -194,7 +194,7 @@
 
     def test_a_configuration_whose_records_were_trimmed_is_restored(self) -> None:
         account = put(2.0)["puts"][0]["object"]
-        self.fleet.grow(4)
+        self.fleet.append_changes(4)
         self.fleet.log.trim(CONFIG_STREAM, 2)
         self.poll()
         status, outcome = self.post(self.routers[0], "restore", {"objects": [account]})
@@ -209,7 +209,7 @@
         self.poll()
         status, problem = self.routers[0].call("POST", "restore", objects)
         self.assertEqual((status, problem["code"]), (422, 5003))
-        self.fleet.grow(4)
+        self.fleet.append_changes(4)
         self.fleet.log.trim(CONFIG_STREAM, 2)
         self.poll()
         status, problem = self.routers[0].call("POST", "restore", {"objects": [route]})
--- a/tests/test_loomyard_router/test_requests/serving_case.py
+++ b/tests/test_loomyard_router/test_requests/serving_case.py
@@ -157,7 +157,7 @@
 
     @property
     def sent(self) -> int:
-        return sum(len(engine.work) for engine in self.engines)
+        return sum(len(engine.work_calls) for engine in self.engines)
 
     def assert_slots_free(self) -> None:
         self.assertEqual(self.policy._running.total(), 0)
--- a/tests/test_loomyard_router/test_requests/test_serving.py
+++ b/tests/test_loomyard_router/test_requests/test_serving.py
@@ -85,7 +85,7 @@
         self.engines[0].stop()
         for _ in range(3):
             self.assertEqual(self.serve(idempotent=False).unwrap().status, 200)
-        self.assertEqual(len(self.engines[1].work), 3)
+        self.assertEqual(len(self.engines[1].work_calls), 3)
         self.assert_slots_free()
 
     def test_answers_of_other_attempts_never_reach_the_caller(self) -> None:
--- a/tests/test_loomyard_router/test_targets/test_prefix_index.py
+++ b/tests/test_loomyard_router/test_targets/test_prefix_index.py
@@ -39,7 +39,7 @@
         self.pull()
         self.clock.advance(FRESH_SECONDS + 1)
         self.index.record("a", "s")
-        self.cache.lose = 2
+        self.cache.lose_events = 2
         self.cache.touch("r")
         self.cache.touch("p")
         self.assertFalse(self.pull())
--- a/tests/test_loomyard_router/test_whole_path.py
+++ b/tests/test_loomyard_router/test_whole_path.py
@@ -55,7 +55,7 @@
         headers = {"Authorization": f"Bearer {sample_key('labels')}"}
         response = client.post("/services/records/lots/7?x=1", b"steel", headers)
         self.assertEqual(json.loads(response.read())["echo"], "steel")
-        self.assertEqual(self.fleet.plain.ran[-1][1], "/lots/7")
+        self.assertEqual(self.fleet.plain.executed[-1][1], "/lots/7")
 
     def test_a_keyed_request_that_is_repeated_at_any_router_runs_once(self) -> None:
         headers = {"Authorization": f"Bearer {sample_key('kiosk')}", "Idempotency-Key": '"r-1"'}
@@ -68,7 +68,7 @@
             for router in self.fleet.routers * 2
         ]
         self.assertEqual(len(set(answers)), 1)
-        ran = [call for call in self.fleet.plain.ran if call[1] == "/receipts"]
+        ran = [call for call in self.fleet.plain.executed if call[1] == "/receipts"]
         self.assertEqual(len(ran), 1)
 
     def post_receipt(self, router, key: str, body: bytes = b"swap"):
@@ -78,14 +78,14 @@
         return response.status_code, json.loads(response.read())
 
     def test_concurrent_requests_with_one_key_run_once_and_get_one_answer(self) -> None:
-        before = len(self.fleet.plain.ran)
+        before = len(self.fleet.plain.executed)
         tasks = [
             gevent.spawn(self.post_receipt, router, "race") for router in self.fleet.routers * 3
         ]
         gevent.joinall(tasks, raise_error=True)
         self.assertEqual({task.value[0] for task in tasks}, {200})
         self.assertEqual(len({task.value[1]["number"] for task in tasks}), 1)
-        self.assertEqual(len(self.fleet.plain.ran) - before, 1)
+        self.assertEqual(len(self.fleet.plain.executed) - before, 1)
 
     def test_a_repeat_is_refused_if_the_answer_was_too_large_to_store(self) -> None:
         body = b"x" * 20_000
@@ -95,11 +95,11 @@
         self.assertEqual((problem["code"], problem["executed"]), (4006, "yes"))
 
     def test_without_the_log_service_only_requests_with_a_key_are_refused(self) -> None:
-        router, before = self.fleet.routers[0], len(self.fleet.plain.ran)
+        router, before = self.fleet.routers[0], len(self.fleet.plain.executed)
         self.fleet.log.log.down = True
         status, problem = self.post_receipt(router, "down")
         self.assertEqual((status, problem["code"], problem["executed"]), (503, 4005, "no"))
-        self.assertEqual(len(self.fleet.plain.ran), before)
+        self.assertEqual(len(self.fleet.plain.executed), before)
         headers = {"Authorization": f"Bearer {sample_key('kiosk')}"}
         client = HTTPClient("127.0.0.1", router.port)
         unclaimed = client.post("/services/records/receipts", b"swap", headers)
@@ -107,7 +107,7 @@
         self.fleet.log.log.down = False
         while self.post_receipt(router, "down")[0] != 200:
             gevent.sleep(0.01)
-        self.assertEqual(len(self.fleet.plain.ran), before + 2)
+        self.assertEqual(len(self.fleet.plain.executed), before + 2)
 
     def test_unknown_service_is_a_problem_document(self) -> None:
         client = HTTPClient("127.0.0.1", self.fleet.routers[1].port)
