--- a/packages/loomyard-standins/src/loomyard_standins/fleet.py
+++ b/packages/loomyard-standins/src/loomyard_standins/fleet.py
@@ -61,10 +61,10 @@
         Raises ``ValueError`` if a change is rejected.
         """
         state = self.routers[0].components.follower.state
-        found = [state.get(ref_of(item)) for item in objects]
+        existing = [state.get(ref_of(item)) for item in objects]
         puts = [
             Put(object=item, based_on=ABSENT if before is None else before.version)
-            for item, before in zip(objects, found, strict=True)
+            for item, before in zip(objects, existing, strict=True)
         ]
         for start in range(0, len(puts), OBJECTS_PER_CHANGE):
             self._publish(puts[start : start + OBJECTS_PER_CHANGE])
--- a/packages/loomyard-standins/src/loomyard_standins/scripted_target.py
+++ b/packages/loomyard-standins/src/loomyard_standins/scripted_target.py
@@ -108,7 +108,9 @@
         data += block
     head, _, rest = data.partition(HEAD_END)
     line, *lines = head.decode("latin-1").split("\r\n")
-    headers = {name.lower(): value.strip() for name, _, value in (x.partition(":") for x in lines)}
+    headers = {
+        name.lower(): value.strip() for name, _, value in (field.partition(":") for field in lines)
+    }
     length = int(headers.get("content-length", "0"))
     while len(rest) < length:
         rest += sock.recv(READ_SIZE)
--- a/packages/loomyard-standins/src/loomyard_standins/share_attempt.py
+++ b/packages/loomyard-standins/src/loomyard_standins/share_attempt.py
@@ -92,7 +92,7 @@
             return
         self._ended = True
         self._driver.finished[self._key] += 1
-        self._driver.open.pop((self._position, self._waiting.request_id), None)
+        self._driver.open_requests.pop((self._position, self._waiting.request_id), None)
         self._driver.estimates[self._position].record(
             self._waiting.account, self._waiting.service, self._tokens
         )
--- a/packages/loomyard-standins/src/loomyard_standins/share_driver.py
+++ b/packages/loomyard-standins/src/loomyard_standins/share_driver.py
@@ -75,7 +75,7 @@
         self.policies: dict[int, SharePolicy] = {}
         self.directories: dict[int, ConfiguredTargets] = {}
         self.estimates: dict[int, CostEstimates] = {}
-        self.open: dict[tuple[int, str], Callable[[], None]] = {}
+        self.open_requests: dict[tuple[int, str], Callable[[], None]] = {}
         self.served: Counter[str] = Counter()
         self.finished: Counter[tuple[str, str]] = Counter()
         self.waiting: Counter[tuple[str, str]] = Counter()
@@ -129,8 +129,8 @@
         self.network.links.pop(f"router-{position}", None)
         del self.policies[position]
         del self.members[position]
-        for key in [key for key in self.open if key[0] == position]:
-            self.open.pop(key)()
+        for key in [key for key in self.open_requests if key[0] == position]:
+            self.open_requests.pop(key)()
         self.agenda.after(DETECTION_DELAY, self.share_full_view)
 
     def restart_router(self, position: int) -> None:
@@ -175,10 +175,10 @@
 
     def _split(self, side: set[int]) -> None:
         for position, members in self.members.items():
-            near = [
+            reachable = [
                 other.own for p, other in self.members.items() if (p in side) == (position in side)
             ]
-            members.set_view(near)
+            members.set_view(reachable)
 
     def share_full_view(self) -> None:
         """Give every router a membership view with all routers."""
@@ -227,7 +227,7 @@
         service = self.routing.services[load.service]
         now = self.agenda.now()
         waiting = WaitingRequest(
-            request_id=str(self._next()),
+            request_id=str(self._next_number()),
             account=account,
             service=service,
             targets=self.routing.resolve(account, load.service).unwrap(),
@@ -243,13 +243,13 @@
         attempt = ShareAttempt(self, position, waiting, tokens, resubmit)
         waiting.admitted = ImmediateResult(attempt.begin)
         self.waiting[key] += 1
-        self.open[position, waiting.request_id] = attempt.abandon
+        self.open_requests[position, waiting.request_id] = attempt.abandon
         if self.policies[position].submit(waiting).is_err():
             self.waiting[key] -= 1
-            del self.open[position, waiting.request_id]
+            del self.open_requests[position, waiting.request_id]
             self.agenda.after(1.0, resubmit)
 
-    def _next(self) -> int:
+    def _next_number(self) -> int:
         self._number += 1
         return self._number
 
@@ -260,10 +260,10 @@
         self._sample_gap()
 
     def _sample_use(self) -> None:
-        wanted = {service for (_, service), count in self.waiting.items() if count > 0}
+        backlogged_services = {service for (_, service), count in self.waiting.items() if count > 0}
         for name, engine in self.engines.items():
             self.excess = max(self.excess, len(engine.queue))
-            if wanted & set(self.routing.targets[name].services):
+            if backlogged_services & set(self.routing.targets[name].services):
                 self.busy += engine.running
                 self.capacity += engine.slots
 
--- a/packages/loomyard-standins/src/loomyard_standins/soak.py
+++ b/packages/loomyard-standins/src/loomyard_standins/soak.py
@@ -28,7 +28,7 @@
     """Run the sequences of a seed; fail on any violation or sequence not run."""
     arguments = _parse()
     if arguments.worker is not None:
-        return _work(arguments)
+        return _run_worker(arguments)
     print(f"seed {arguments.seed}", flush=True)
     started = time.monotonic()
     workers = [_start_worker(arguments, number) for number in range(arguments.workers)]
@@ -64,7 +64,7 @@
     return subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
 
 
-def _work(arguments: argparse.Namespace) -> int:
+def _run_worker(arguments: argparse.Namespace) -> int:
     logging.disable(logging.CRITICAL)
     until = time.monotonic() + WORKER_SECONDS
     counts = {"sequences": 0, "faults": 0, "violations": 0}
--- a/packages/loomyard-standins/src/loomyard_standins/wire_names.py
+++ b/packages/loomyard-standins/src/loomyard_standins/wire_names.py
@@ -13,7 +13,7 @@
 ADAPTER = "loomyard_router/platform"
 ADAPTER_MODULE = "loomyard_router.platform"
 # Headers, paths, topics and fields of the platform that equal no name of this project.
-WIRE = re.compile(
+PLATFORM_NAMES = re.compile(
     r"Loomyard-(?:Attempt-Id|Deadline-Ms|Tenant|Token-Usage|Prompt-Prefix|Length-Hint"
     r"|Expect-|Not-Executed|Server-Stamp|Instance-Id|Model|Weight-Versions|Pin-Ms|Hold|Kv-)"
     r"|Server-Leaving"
@@ -51,7 +51,7 @@
     leaks = [
         LeakedName(path=path, line=number, text=found[0])
         for number, line in enumerate(source.splitlines(), 1)
-        if (found := WIRE.search(line))
+        if (found := PLATFORM_NAMES.search(line))
     ]
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.ImportFrom):
