--- a/tests/test_loomyard_router/test_drain.py
+++ b/tests/test_loomyard_router/test_drain.py
@@ -75,7 +75,7 @@
         stream = next(iter(engine.streams.values()))
         while not (stream.cancelled and len(self.router._in_flight) == 0):
             gevent.sleep(0.001)
-        self.assertLess(stream.made, stream.tokens)
+        self.assertLess(stream.generated, stream.tokens)
 
 
 if __name__ == "__main__":
