--- a/packages/loomyard-standins/src/loomyard_standins/programs/__init__.py
+++ b/packages/loomyard-standins/src/loomyard_standins/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The real programs as processes on loopback, with faults from outside, and what must hold."""
+"""Soak test of the real programs: processes on loopback, fault injection, invariants."""
--- a/packages/loomyard-standins/src/loomyard_standins/programs/__main__.py
+++ b/packages/loomyard-standins/src/loomyard_standins/programs/__main__.py
@@ -1,4 +1,4 @@
-"""Soak the real programs: faults from outside, drawn from a seed; the last line is JSON."""
+"""Soak the real programs under faults drawn from a seed; print a JSON report per seed."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 from loomyard_standins.programs.soak_run import SoakRun  # noqa: E402
 
-SECONDS = 30.0
-EVERY = 1.5
+FAULT_SECONDS = 30.0
+FAULT_PERIOD_SECONDS = 1.5
 ROUTERS = 3
 
 
 def main() -> int:
-    """Run some seeds one after the other; fail with any breach, whose logs are kept."""
+    """Run the seeds one after the other; return 1 after any violation, whose logs are kept."""
     arguments = _parse()
-    # Told to end, a run ends its programs first.
+    # On SIGTERM stop the programs of the run before exiting.
     gevent.signal_handler(signal.SIGTERM, gevent.getcurrent().throw, SystemExit(1))
-    first = arguments.seed
-    broken = 0
-    for seed in range(first, first + arguments.seeds):
+    first_seed = arguments.seed
+    failed_seeds = 0
+    for seed in range(first_seed, first_seed + arguments.seeds):
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
         run = SoakRun(
             folder,
@@ -40,24 +40,30 @@
             every=arguments.every,
             routers=arguments.routers,
         )
-        report = run.play()
-        broken += bool(run.breaches)
-        for breach in run.breaches:
-            print(f"seed {seed}: {breach.promise.name}: {breach.detail}")
-        if run.breaches:
+        report = run.execute()
+        failed_seeds += bool(run.violations)
+        for violation in run.violations:
+            print(f"seed {seed}: {violation.invariant.name}: {violation.detail}")
+        if run.violations:
             print(f"seed {seed}: logs in {folder}")
         else:
             shutil.rmtree(folder)
         print(json.dumps(report), flush=True)
-    return 1 if broken else 0
+    return 1 if failed_seeds else 0
 
 
 def _parse() -> argparse.Namespace:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=random.SystemRandom().randrange(2**31))
-    parser.add_argument("--seeds", type=int, default=1, help="how many, from the first on")
-    parser.add_argument("--seconds", type=float, default=SECONDS, help="of faults, in each")
-    parser.add_argument("--every", type=float, default=EVERY, help="seconds between faults")
+    parser.add_argument(
+        "--seeds", type=int, default=1, help="number of seeds, counted up from the first"
+    )
+    parser.add_argument(
+        "--seconds", type=float, default=FAULT_SECONDS, help="duration of the faults of each seed"
+    )
+    parser.add_argument(
+        "--every", type=float, default=FAULT_PERIOD_SECONDS, help="mean seconds between faults"
+    )
     parser.add_argument("--routers", type=int, default=ROUTERS)
     return parser.parse_args()
 
--- a/packages/loomyard-standins/src/loomyard_standins/programs/caller_program.py
+++ b/packages/loomyard-standins/src/loomyard_standins/programs/caller_program.py
@@ -1,4 +1,4 @@
-"""Callers as a program: requests of all kinds to all routers; each outcome is said."""
+"""Callers as a program: send requests of all kinds to all routers and report each outcome."""
 
 from __future__ import annotations
 
@@ -15,156 +15,165 @@
 from attrs import define, field  # noqa: E402
 from geventhttpclient import HTTPClient  # noqa: E402
 
-from loomyard_standins.programs.words import (  # noqa: E402
-    ENDING_BODIES,
+from loomyard_standins.programs.soak_protocol import (  # noqa: E402
+    CRASHING_BODIES,
     HOST,
     HTTP_OK,
-    LEAVING,
+    IDEMPOTENT,
+    LEAVING_HEADER,
     PATHS,
     PROBE_HOST,
-    REPEATABLE,
-    SAME_BODIES,
-    STAMP,
+    REPEATED_BODIES,
+    STAMP_HEADER,
     STREAM,
+    emit,
+    expected_answer,
+    expected_stream,
+    input_lines,
     probe_path,
     request_headers,
-    say,
-    told,
-    whole_answer,
-    whole_stream,
 )
 
 if TYPE_CHECKING:
     from geventhttpclient.response import HTTPResponse
 
 CALLERS = 6
-PAUSE_SECONDS = 0.05
+MAX_PAUSE_SECONDS = 0.05
 DEADLINE_SECONDS = 5.0
 CONNECT_SECONDS = 1.0
 PROBE_EVERY = 4
-# How many versions back from the newest are asked for.
-PROBED = 3
-# A part of the callers leaves before the answer.
-LEAVING_PART = 0.05
-LEAVE_SECONDS = 0.1
-# A part of the requests is the same word for word each time.
-SAME_PART = 0.3
-# Seconds between two comings of a request that ends targets, on average.
-ENDING_SECONDS = 0.5
+# How many versions before the newest are probed.
+PROBED_VERSIONS = 3
+# Fraction of the requests whose caller disconnects after DISCONNECT_SECONDS without an answer.
+DISCONNECT_FRACTION = 0.05
+DISCONNECT_SECONDS = 0.1
+# Fraction of the requests with one of the bodies that are sent again and again.
+REPEATED_FRACTION = 0.3
+# Mean time in seconds between two sends of a poison request.
+CRASHING_PERIOD_SECONDS = 0.5
 
 
 @define(eq=False)
 class Caller:
-    """One caller; it asks one router after the other and waits for each answer."""
+    """One caller, which sends one request after the other to random routers."""
 
     name: str
     routers: list[str]
-    source: random.Random
+    rng: random.Random
     newest: list[int]
-    _asked: int = field(default=0)
+    _sent_count: int = field(default=0)
 
     def run(self) -> None:
-        """Ask for ever."""
+        """Send requests and probes for ever."""
         while True:
-            self._asked += 1
-            router = self.source.choice(self.routers)
-            if self._asked % PROBE_EVERY == 0:
+            self._sent_count += 1
+            router = self.rng.choice(self.routers)
+            if self._sent_count % PROBE_EVERY == 0:
                 self._probe(router)
             else:
-                kind = self.source.choice(list(PATHS))
+                kind = self.rng.choice(list(PATHS))
                 self._request(router, kind, self._choose_body())
-            gevent.sleep(PAUSE_SECONDS * self.source.random())
+            gevent.sleep(MAX_PAUSE_SECONDS * self.rng.random())
 
-    def run_ending(self) -> None:
-        """Come again and again with one that ends targets, and with harmless ones beside it."""
-        kind = self.source.choice(list(PATHS))
+    def run_crashing(self) -> None:
+        """Send a poison request again and again, each time with harmless ones beside it."""
+        kind = self.rng.choice(list(PATHS))
         while True:
-            gevent.sleep(2 * ENDING_SECONDS * self.source.random())
-            router = self.source.choice(self.routers)
-            asking = []
-            for body in (*SAME_BODIES, ENDING_BODIES[kind]):
-                self._asked += 1
-                asking.append(gevent.spawn(self._request, router, kind, body))
+            gevent.sleep(2 * CRASHING_PERIOD_SECONDS * self.rng.random())
+            router = self.rng.choice(self.routers)
+            requests = []
+            for body in (*REPEATED_BODIES, CRASHING_BODIES[kind]):
+                self._sent_count += 1
+                requests.append(gevent.spawn(self._request, router, kind, body))
                 gevent.sleep(0)
-            gevent.joinall(asking)
+            gevent.joinall(requests)
 
     def _choose_body(self) -> bytes:
-        if self.source.random() < SAME_PART:
-            return self.source.choice(SAME_BODIES)
-        return f"{self.name}-{self._asked}".encode() * self.source.randint(1, 40)
+        if self.rng.random() < REPEATED_FRACTION:
+            return self.rng.choice(REPEATED_BODIES)
+        return f"{self.name}-{self._sent_count}".encode() * self.rng.randint(1, 40)
 
     def _request(self, router: str, kind: str, body: bytes) -> None:
-        attempt_id = f"{self.name}-{self._asked}"
-        leaves = self.source.random() < LEAVING_PART
-        expected = whole_stream(attempt_id) if kind == STREAM else whole_answer(attempt_id, body)
-        say(sent=attempt_id, kind=kind, router=router)
-        seconds = LEAVE_SECONDS if leaves else DEADLINE_SECONDS + CONNECT_SECONDS
-        status, got, ended = self._ask(
+        attempt_id = f"{self.name}-{self._sent_count}"
+        disconnects = self.rng.random() < DISCONNECT_FRACTION
+        expected = (
+            expected_stream(attempt_id) if kind == STREAM else expected_answer(attempt_id, body)
+        )
+        emit(sent=attempt_id, kind=kind, router=router)
+        seconds = DISCONNECT_SECONDS if disconnects else DEADLINE_SECONDS + CONNECT_SECONDS
+        status, received, completed = self._post(
             router, HOST, f"{PATHS[kind]}x", attempt_id, body, time.monotonic() + seconds
         )
-        whole = status == HTTP_OK and ended
-        if leaves and not ended:
-            say(left=attempt_id)
-        say(
+        whole = status == HTTP_OK and completed
+        if disconnects and not completed:
+            emit(left=attempt_id)
+        emit(
             saw=attempt_id,
             status=status,
             whole=whole,
-            own=got == expected if whole else status != HTTP_OK or expected.startswith(got),
+            own=(
+                received == expected
+                if whole
+                else status != HTTP_OK or expected.startswith(received)
+            ),
         )
 
     def _probe(self, router: str) -> None:
-        """Ask for a route that a version added; only the status counts."""
-        version = self.source.randint(max(1, self.newest[0] - PROBED), self.newest[0])
-        attempt_id = f"{self.name}-{self._asked}"
-        say(sent=attempt_id, kind=REPEATABLE, router=router)
-        began = time.monotonic()
-        until = began + DEADLINE_SECONDS
-        status, _, _ = self._ask(router, PROBE_HOST, probe_path(version), attempt_id, b"", until)
+        """Probe the route that a version added; only the status counts."""
+        version = self.rng.randint(max(1, self.newest[0] - PROBED_VERSIONS), self.newest[0])
+        attempt_id = f"{self.name}-{self._sent_count}"
+        emit(sent=attempt_id, kind=IDEMPOTENT, router=router)
+        started_at = time.monotonic()
+        until = started_at + DEADLINE_SECONDS
+        status, _, _ = self._post(router, PROBE_HOST, probe_path(version), attempt_id, b"", until)
         if status:
-            say(probe=version, router=router, status=status, began=began)
+            emit(probe=version, router=router, status=status, began=started_at)
 
-    def _ask(
+    def _post(
         self, router: str, host: str, path: str, attempt_id: str, body: bytes, until: float
     ) -> tuple[int, bytes, bool]:
-        """Return status (0 without one), body as far as it came, and whether it ended whole."""
+        """Return status (0 if none came), the bytes received and whether the answer is complete."""
         client = HTTPClient.from_url(
             f"http://{router}",
             connection_timeout=CONNECT_SECONDS,
             network_timeout=DEADLINE_SECONDS,
         )
         headers = request_headers(attempt_id, DEADLINE_SECONDS) | {"Host": host}
-        status, got, whole = 0, b"", False
+        status, received, whole = 0, b"", False
         try:
             with gevent.Timeout(max(0.0, until - time.monotonic()), False):
                 response = client.post(path, body=body, headers=headers)
                 status = response.status_code
-                self._note_leaving(router, response)
+                self._report_leaving(router, response)
                 while block := response.read(4096):
-                    got += bytes(block)
+                    received += bytes(block)
                 whole = response.message_complete
         except Exception as error:  # the client raises many types on a broken connection
-            say(broken=attempt_id, detail=repr(error))
+            emit(broken=attempt_id, detail=repr(error))
         finally:
             client.close()
-        return status, got, whole
+        return status, received, whole
 
-    def _note_leaving(self, router: str, response: HTTPResponse) -> None:
-        """Say that a router passed on an answer by which a target says that it leaves."""
-        if response.get(LEAVING):
-            target, _, _ = str(response.get(STAMP, "")).partition(".")
-            say(passed_leaving=target, router=router)
+    def _report_leaving(self, router: str, response: HTTPResponse) -> None:
+        """Report an answer in which a router forwarded the notice that a target leaves."""
+        if response.get(LEAVING_HEADER):
+            target, _, _ = str(response.get(STAMP_HEADER, "")).partition(".")
+            emit(passed_leaving=target, router=router)
 
 
 def main() -> int:
-    """Ask as ``SEED ROUTER...`` says until standard input ends; its lines are newest versions."""
+    """Run callers with the arguments ``SEED ROUTER...`` until standard input ends.
+
+    Each line of standard input is the newest version of the configuration.
+    """
     seed, *routers = sys.argv[1:]
     newest = [1]
     for number in range(CALLERS):
         caller = Caller(f"c{number}", routers, random.Random(f"{seed} {number}"), newest)
         gevent.spawn(caller.run)
-    ending = Caller("e", routers, random.Random(f"{seed} ending"), newest)
-    gevent.spawn(ending.run_ending)
-    for line in told():
+    crashing = Caller("e", routers, random.Random(f"{seed} ending"), newest)
+    gevent.spawn(crashing.run_crashing)
+    for line in input_lines():
         newest[0] = int(line)
     return 0
 
--- a/packages/loomyard-standins/src/loomyard_standins/programs/documents.py
+++ b/packages/loomyard-standins/src/loomyard_standins/programs/documents.py
@@ -1,17 +1,17 @@
-"""The documents that the soak publishes and the settings that it writes."""
+"""Configuration, target entries and router settings that the soak writes."""
 
 from __future__ import annotations
 
 import json
 
-from loomyard_standins.programs.words import (
+from loomyard_standins.programs.soak_protocol import (
+    API_KEY,
     HOST,
-    KEY,
-    MILLISECONDS,
-    ONCE,
+    IDEMPOTENT,
+    MILLISECONDS_PER_SECOND,
+    NON_IDEMPOTENT,
     PATHS,
     PROBE_HOST,
-    REPEATABLE,
     STREAM,
     probe_path,
 )
@@ -19,18 +19,18 @@
 CONFIGURATION_TOPIC, CONFIGURATION_KEY = "keyed.op", "config"
 TARGETS_TOPIC = "keyed.servers"
 PLAIN_SERVICE, ENGINE_SERVICE = "plain", "engine"
-SERVICES = {ONCE: PLAIN_SERVICE, REPEATABLE: PLAIN_SERVICE, STREAM: ENGINE_SERVICE}
+SERVICES = {NON_IDEMPOTENT: PLAIN_SERVICE, IDEMPOTENT: PLAIN_SERVICE, STREAM: ENGINE_SERVICE}
 SLOTS = 8
-# Of the targets of each service one stands in each; routers stand in the first.
+# Each service has one target in each; all routers are in the first.
 DATA_CENTRES = ("a", "b")
-EMPTYING = "evacuate/"
-# What a cold target bears, in requests a second.
-COLD_PER_SECOND = 4
+EVACUATION_PREFIX = "evacuate/"
+# Requests a second that a cold target can serve.
+COLD_REQUESTS_PER_SECOND = 4
 FRONT_PORT, READY_PORT, CONTROL_PORT, PEER_PORT = 8080, 8081, 8082, 7400
 GRACE_SECONDS = 4
-TERMS = {"timeout_ms": 5000, "slo_ms": 1000, "max_attempts": 3}
-# What anybody may write.
-NONSENSE = (
+ROUTE_LIMITS = {"timeout_ms": 5000, "slo_ms": 1000, "max_attempts": 3}
+# Values that a foreign writer may leave in the store.
+INVALID_VALUES = (
     "",
     "{",
     "[" * 100_000,
@@ -41,7 +41,7 @@
 
 
 def configuration(version: int) -> str:
-    """Return a version; it adds a route of its own to those of the versions before."""
+    """Return a version of the configuration; each adds a route to those of the version before."""
     routes = [
         {
             "name": kind,
@@ -50,7 +50,7 @@
             "route_kind": kind,
             "service": SERVICES[kind],
             "resumable": kind == STREAM,
-            **TERMS,
+            **ROUTE_LIMITS,
         }
         for kind, path in PATHS.items()
     ]
@@ -59,19 +59,19 @@
             "name": f"v{number}",
             "host": PROBE_HOST,
             "path_prefix": probe_path(number),
-            "route_kind": REPEATABLE,
+            "route_kind": IDEMPOTENT,
             "service": PLAIN_SERVICE,
             "public": True,
-            **TERMS,
+            **ROUTE_LIMITS,
         }
         for number in range(1, version + 1)
     ]
     services = [
-        {"name": PLAIN_SERVICE, "max_conns": 100, "cold_per_s": COLD_PER_SECOND},
+        {"name": PLAIN_SERVICE, "max_conns": 100, "cold_per_s": COLD_REQUESTS_PER_SECOND},
         {
             "name": ENGINE_SERVICE,
             "max_conns": 100,
-            "cold_per_s": COLD_PER_SECOND,
+            "cold_per_s": COLD_REQUESTS_PER_SECOND,
             "engine": {"slots": SLOTS, "kv_capacity": 100_000},
         },
     ]
@@ -79,7 +79,7 @@
         "version": version,
         "routes": routes,
         "services": services,
-        "tenants": [{"name": "soak", "api_keys": [KEY]}],
+        "tenants": [{"name": "soak", "api_keys": [API_KEY]}],
         "limits": {"tokens_per_s": 100_000},
     }
     return json.dumps(document)
@@ -88,7 +88,7 @@
 def announcement(
     service: str, address: str, *, data_centre: str, born: int, draining: bool, cold_seconds: float
 ) -> str:
-    """Return what a target says of itself."""
+    """Return the entry of a target; ``born`` orders its incarnations."""
     document = {
         "service": service,
         "address": address,
@@ -96,14 +96,14 @@
         "slots": SLOTS,
         "state": "draining" if draining else "ready",
         "born": born,
-        "cold_left_ms": round(cold_seconds * MILLISECONDS),
+        "cold_left_ms": round(cold_seconds * MILLISECONDS_PER_SECOND),
     }
     return json.dumps(document)
 
 
-def emptying_key(data_centre: str) -> str:
-    """Return the key under which an operator empties a data centre."""
-    return f"{EMPTYING}{data_centre}"
+def evacuation_key(data_centre: str) -> str:
+    """Return the key of the record with which an operator evacuates a data centre."""
+    return f"{EVACUATION_PREFIX}{data_centre}"
 
 
 def settings(name: str, host: str, seeds: list[str], store: str) -> str:
--- a/packages/loomyard-standins/src/loomyard_standins/programs/fault_plan.py
+++ b/packages/loomyard-standins/src/loomyard_standins/programs/fault_plan.py
@@ -1,4 +1,4 @@
-"""Faults of a soak, drawn from its seed."""
+"""Draw the faults of a soak run from its seed."""
 
 from __future__ import annotations
 
@@ -9,48 +9,54 @@
 
 
 class ProgramFault(Enum):
-    """What befalls a program, or a connection."""
-
-    KILL_ROUTER = "a router is killed and starts again"
-    STOP_ROUTER = "a router is told to stop, and starts again"
-    PAUSE_ROUTER = "a router stands still"
-    SUSPEND_ROUTER = "the VM of a router is suspended: its steady clock stands still too"
-    CRASH_TARGET = "a target is killed, another starts"
-    LEAVE_TARGET = "a target says that it leaves, ends later, another starts"
-    PAUSE_TARGET = "a target stands still"
+    """A fault of a program or of its connections.
+
+    Plans depend on the order and number of the members.
+    """
+
+    KILL_ROUTER = "a router is killed and restarted"
+    STOP_ROUTER = "a router is asked to stop by SIGTERM and restarted"
+    PAUSE_ROUTER = "the process of a router is paused"
+    SUSPEND_ROUTER = "the VM of a router is suspended: its monotonic clock stops as well"
+    CRASH_TARGET = "a target is killed and replaced"
+    LEAVE_TARGET = "a target announces in its entry that it leaves, stops later and is replaced"
+    PAUSE_TARGET = "the process of a target is paused"
     CUT_TARGET = "connections to a target fail"
-    REBORN_TARGET = "a target is killed and starts again under its id"
-    COLD_TARGET = "a target is cold and bears a few requests a second"
-    EMPTY_DATA_CENTRE = "an operator empties a data centre and takes it back"
-    OTHER_WRITER = "another writer leaves entries that can't be read"
-    PAUSE_STORE = "the store stands still"
-    BUSY_STORE = "the store refuses every call"
+    RESTART_TARGET = "a target is killed and restarted under the same id"
+    COLD_TARGET = "a target announces that it is cold and can serve a few requests a second"
+    EVACUATE_DATA_CENTRE = "an operator evacuates a data centre and reinstates it"
+    WRITE_INVALID_ENTRIES = "another writer leaves invalid entries in the store"
+    PAUSE_STORE = "the process of the store is paused"
+    REFUSE_STORE_CALLS = "the store refuses every call"
     CUT_STORE = "connections of some routers to the store fail"
-    MUTE_STORE = "connections of all routers to the store fail"
-    LOSE_WRITES = "the store is away and comes back from a copy some seconds old"
-    SAY_LEAVING = "a target says in its answers alone that it leaves"
-    ASK_REST = "a target turns requests away and asks for rest"
+    CUT_STORE_FOR_ALL = "connections of all routers to the store fail"
+    ROLL_BACK_STORE = "the store is unavailable, then rolls back to a copy some seconds old"
+    NOTIFY_LEAVING = "a target announces only in its answers that it leaves"
+    REQUEST_BACKOFF = "a target refuses requests and asks for back-off"
 
 
 @frozen
-class Apart:
-    """A fault that is drawn apart: the name of its draw, and how many there are at most."""
+class SeparateDraw:
+    """A fault drawn by a generator of its own, which ``name`` seeds, up to ``max_count`` times."""
 
     name: str
-    most: int
+    max_count: int
 
 
-# So the other faults of a seed stay as they were.
-APART = {
-    ProgramFault.LOSE_WRITES: Apart("losses", 3),
-    ProgramFault.SAY_LEAVING: Apart("leavings", 1),
-    ProgramFault.ASK_REST: Apart("rests", 2),
+# Drawn separately so that the other faults of a seed do not depend on these.
+SEPARATE_DRAWS = {
+    ProgramFault.ROLL_BACK_STORE: SeparateDraw("losses", 3),
+    ProgramFault.NOTIFY_LEAVING: SeparateDraw("leavings", 1),
+    ProgramFault.REQUEST_BACKOFF: SeparateDraw("rests", 2),
 }
 
 
 @frozen(kw_only=True)
-class Planned:
-    """A fault; ``at`` and ``until`` are seconds after the start, ``choice`` picks who and how."""
+class PlannedFault:
+    """A fault from ``at`` until ``until``, in seconds after the start.
+
+    ``choice`` is a random number that selects the component and the variant.
+    """
 
     at: float
     until: float
@@ -58,28 +64,28 @@
     choice: int
 
 
-def draw_plan(seed: int, *, seconds: float, every: float) -> list[Planned]:
-    """Return faults in the order of their times; they may overlap, and all end in time."""
-    source = random.Random(seed)
+def draw_plan(seed: int, *, seconds: float, every: float) -> list[PlannedFault]:
+    """Return the faults ordered by start; they may overlap, and all end within ``seconds``."""
+    rng = random.Random(seed)
     plan = []
     at = every
     while at < seconds - every:
-        until = min(at + source.uniform(0.3, 4.0), seconds)
-        fault = source.choice([one for one in ProgramFault if one not in APART])
-        plan.append(Planned(at=at, until=until, fault=fault, choice=source.randrange(2**16)))
-        at += every * source.uniform(0.3, 1.7)
-    for fault, apart in APART.items():
-        plan += _draw_apart(fault, apart, seed, seconds=seconds, every=every)
+        until = min(at + rng.uniform(0.3, 4.0), seconds)
+        fault = rng.choice([fault for fault in ProgramFault if fault not in SEPARATE_DRAWS])
+        plan.append(PlannedFault(at=at, until=until, fault=fault, choice=rng.randrange(2**16)))
+        at += every * rng.uniform(0.3, 1.7)
+    for fault, draw in SEPARATE_DRAWS.items():
+        plan += _draw_separately(fault, draw, seed, seconds=seconds, every=every)
     return sorted(plan, key=lambda planned: planned.at)
 
 
-def _draw_apart(
-    fault: ProgramFault, apart: Apart, seed: int, *, seconds: float, every: float
-) -> list[Planned]:
-    source = random.Random(f"{apart.name} {seed}")
+def _draw_separately(
+    fault: ProgramFault, draw: SeparateDraw, seed: int, *, seconds: float, every: float
+) -> list[PlannedFault]:
+    rng = random.Random(f"{draw.name} {seed}")
     drawn = []
-    for _ in range(source.randint(1, apart.most)):
-        at = source.uniform(every, max(every, seconds - 4 * every))
-        until = at + source.uniform(0.2, 2.0)
-        drawn.append(Planned(at=at, until=until, fault=fault, choice=source.randrange(2**16)))
+    for _ in range(rng.randint(1, draw.max_count)):
+        at = rng.uniform(every, max(every, seconds - 4 * every))
+        until = at + rng.uniform(0.2, 2.0)
+        drawn.append(PlannedFault(at=at, until=until, fault=fault, choice=rng.randrange(2**16)))
     return drawn
--- a/packages/loomyard-standins/src/loomyard_standins/programs/fault_proxy.py
+++ b/packages/loomyard-standins/src/loomyard_standins/programs/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback that fails connections as it is told."""
+"""A TCP proxy on loopback that injects faults into its connections."""
 
 from __future__ import annotations
 
@@ -24,29 +24,32 @@
 
 
 class LinkFault(Enum):
-    """What happens to connections, old and new, while it lasts."""
+    """A fault of all connections, open and new ones, while it is set."""
 
     NONE = "none"
-    SILENT = "silent"
-    ONE_WAY = "one way"
+    DROP_ALL = "silent"
+    DROP_ANSWERS = "one way"
     DELAYED = "delayed"
     RESET = "reset"
 
 
 @define(eq=False)
 class _Link:
-    """A connection; one that lost bytes can't go on and stays silent for good."""
+    """A proxied connection.
 
-    near: socket.socket
-    far: socket.socket
-    silent: bool = False
+    Once bytes were dropped its stream is incomplete, so it drops everything from then on.
+    """
+
+    client: socket.socket
+    upstream: socket.socket
+    dropping: bool = False
 
 
 class FaultProxy:
-    """Pass connections on to an address."""
+    """Forward connections to an address, with the fault that is set."""
 
-    def __init__(self, host: str, to: tuple[str, int], clock: Clock) -> None:
-        self.to = to
+    def __init__(self, host: str, upstream_address: tuple[str, int], clock: Clock) -> None:
+        self.upstream_address = upstream_address
         self._fault = LinkFault.NONE
         self._clock = clock
         self._links: set[_Link] = set()
@@ -58,74 +61,74 @@
         return f"{self._server.server_host}:{self._server.server_port}"
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._server.start()
 
-    def refuse(self) -> None:
-        """Refuse connections from now on, as a machine does whose process has ended."""
+    def stop_listening(self) -> None:
+        """Refuse new connections from now on, as a VM does whose process has ended."""
         self._server.stop(timeout=0)
 
     def stop(self) -> None:
-        """Close everything."""
+        """Stop listening and reset all connections."""
         self._server.stop(timeout=0)
         self._reset_all()
 
     def set_fault(self, fault: LinkFault) -> None:
-        """Begin a fault, or end it."""
+        """Set the fault of all connections; ``LinkFault.NONE`` ends it."""
         self._fault = fault
         if fault is LinkFault.RESET:
             self._reset_all()
 
-    def _serve(self, near: socket.socket, _: object) -> None:
+    def _serve(self, client: socket.socket, _: object) -> None:
         if self._fault is LinkFault.RESET:
-            _reset(near)
+            _reset(client)
             return
         try:
-            far = socket.create_connection(self.to, timeout=CONNECT_SECONDS)
+            upstream = socket.create_connection(self.upstream_address, timeout=CONNECT_SECONDS)
         except OSError:
-            _reset(near)
+            _reset(client)
             return
-        far.settimeout(None)
-        for sock in (near, far):
+        upstream.settimeout(None)
+        for sock in (client, upstream):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        link = _Link(near, far)
+        link = _Link(client, upstream)
         self._links.add(link)
-        there = gevent.spawn(self._pump, link, near, far)
-        back = gevent.spawn(self._pump, link, far, near)
-        gevent.joinall([there, back])
+        to_upstream = gevent.spawn(self._pump, link, client, upstream)
+        to_client = gevent.spawn(self._pump, link, upstream, client)
+        gevent.joinall([to_upstream, to_client])
         self._links.discard(link)
-        near.close()
-        far.close()
+        client.close()
+        upstream.close()
 
     def _pump(self, link: _Link, source: socket.socket, sink: socket.socket) -> None:
         try:
             while block := source.recv(BLOCK_BYTES):
                 if self._fault is LinkFault.DELAYED:
                     self._clock.sleep(DELAY_SECONDS)
-                if self._loses(answer=source is link.far):
-                    link.silent = True
-                if not link.silent:
+                if self._drops(answer=source is link.upstream):
+                    link.dropping = True
+                if not link.dropping:
                     sink.sendall(block)
-            if not link.silent:
+            if not link.dropping:
                 sink.shutdown(socket.SHUT_WR)
         except OSError:
             _reset(source)
             _reset(sink)
 
-    def _loses(self, *, answer: bool) -> bool:
-        one_way = self._fault is LinkFault.ONE_WAY and answer
-        return one_way or self._fault is LinkFault.SILENT
+    def _drops(self, *, answer: bool) -> bool:
+        answers_dropped = self._fault is LinkFault.DROP_ANSWERS and answer
+        return answers_dropped or self._fault is LinkFault.DROP_ALL
 
     def _reset_all(self) -> None:
         for link in list(self._links):
-            _reset(link.near)
-            _reset(link.far)
+            _reset(link.client)
+            _reset(link.upstream)
 
 
 def _reset(sock: socket.socket) -> None:
-    """Close a connection so that its peer sees a reset."""
+    """Close a connection with a reset (zero linger time)."""
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
     except OSError as error:
-        logger.debug("a connection was closed already: %r", error)
+        logger.debug("connection already closed: %r", error)
     sock.close()
--- a/packages/loomyard-standins/src/loomyard_standins/programs/program.py
+++ b/packages/loomyard-standins/src/loomyard_standins/programs/program.py
@@ -1,4 +1,4 @@
-"""A program that the soak started."""
+"""A process that the soak started."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
     Listener = Callable[[dict[str, Any]], None]
 
-END_SECONDS = 15.0
-# A busy machine takes seconds to start a program; none that starts at all takes as long.
-LISTEN_SECONDS = 60.0
+EXIT_TIMEOUT_SECONDS = 15.0
+# A program takes seconds to start on a busy host, but never that long.
+LISTEN_TIMEOUT_SECONDS = 60.0
 
 
 class Program:
-    """One process; what it says on standard output in lines of JSON goes to a listener."""
+    """One process; each JSON line of its standard output is passed to a listener."""
 
     def __init__(
         self, command: list[str], log: Path, listener: Listener, environment: Mapping[str, str] = {}
@@ -47,16 +47,19 @@
 
     @property
     def port(self) -> int:
-        """Return the port at which the program said that it listens."""
-        if not self._listening.wait(LISTEN_SECONDS):
-            raise TimeoutError(f"a program does not listen; see {self._log.name}")
+        """Return the port on which the program reported to listen.
+
+        Raises ``TimeoutError`` after LISTEN_TIMEOUT_SECONDS.
+        """
+        if not self._listening.wait(LISTEN_TIMEOUT_SECONDS):
+            raise TimeoutError(f"program did not listen in time; see {self._log.name}")
         if not self._port:
-            # It was ended first, so whoever waits for it has nothing left to do.
+            # It was killed before it listened; the waiting greenlet has nothing left to do.
             raise gevent.GreenletExit
         return self._port
 
-    def tell(self, line: str) -> None:
-        """Write a line to its standard input."""
+    def send_line(self, line: str) -> None:
+        """Write a line to the standard input of the process."""
         self._process.stdin.write(line.encode() + b"\n")
         self._process.stdin.flush()
 
@@ -65,29 +68,29 @@
         if self.running:
             self._process.send_signal(number)
 
-    def wait(self, seconds: float = END_SECONDS) -> bool:
-        """Wait for its end; tell whether it came."""
+    def wait(self, seconds: float = EXIT_TIMEOUT_SECONDS) -> bool:
+        """Wait for the process to exit; return whether it did within the time."""
         try:
             self._process.wait(timeout=seconds)
         except subprocess.TimeoutExpired:
             return False
         return True
 
-    def end(self) -> None:
-        """End it at once and hear what it said to its end."""
+    def kill(self) -> None:
+        """Kill the process and pass on the rest of its output."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
         self.wait()
-        self._reader.join(END_SECONDS)
+        self._reader.join(EXIT_TIMEOUT_SECONDS)
         self._listening.set()
         self._log.close()
 
     def _read(self) -> None:
         for line in self._process.stdout:
             self._log.write(line)
-            said = json.loads(line)
-            if "listening" in said:
-                self._port = said["listening"]
+            message = json.loads(line)
+            if "listening" in message:
+                self._port = message["listening"]
                 self._listening.set()
             else:
-                self._listener(said)
+                self._listener(message)
--- a/packages/loomyard-standins/src/loomyard_standins/programs/program_fleet.py
+++ b/packages/loomyard-standins/src/loomyard_standins/programs/program_fleet.py
@@ -1,4 +1,4 @@
-"""Routers, store, targets and callers as processes on loopback."""
+"""Start and stop routers, store, targets and callers as processes on loopback."""
 
 from __future__ import annotations
 
@@ -17,35 +17,36 @@
 from loomyard_standins.programs import documents
 from loomyard_standins.programs.fault_proxy import FaultProxy
 from loomyard_standins.programs.program import Program
-from loomyard_standins.programs.words import ONCE, STREAM, SUSPENDING
+from loomyard_standins.programs.soak_protocol import NON_IDEMPOTENT, STREAM, SUSPEND_SIGNAL
 
 if TYPE_CHECKING:
     import random
     from collections.abc import Callable, Mapping
     from pathlib import Path
 
+    from loomyard_standins.programs.invariant import Violation
+    from loomyard_standins.programs.invariant_checker import InvariantChecker
     from loomyard_standins.programs.program import Listener
-    from loomyard_standins.programs.promise import Breach
-    from loomyard_standins.programs.promises import Promises
 
 logger = logging.getLogger(__name__)
 
 MODULES = "loomyard_standins.programs"
 ROUTER_MODULE = f"{MODULES}.suspended_router"
 SECRET = "a secret of this run"
-# How long a target that crashed or left stays announced, and one that leaves goes on serving.
-LAPSE_SECONDS = 1.0
-LEAVE_SECONDS = 4.0
+# How long the entry of a crashed target stays and a target without an entry keeps running, and how
+# long a leaving target is announced as such.
+ENTRY_LINGER_SECONDS = 1.0
+SERVE_WHILE_LEAVING_SECONDS = 4.0
 FIRST_HOST = 10
 
 
 @define(eq=False)
 class Router:
-    """A router, which keeps its addresses through its lives."""
+    """A router, which keeps its addresses through all its incarnations."""
 
     name: str
     host: str
-    store: FaultProxy
+    store_proxy: FaultProxy
     program: Program
 
     @property
@@ -55,46 +56,45 @@
 
 @define(eq=False)
 class Target:
-    """One life of a target; ``cold_seconds`` are left of its being cold when it says so."""
+    """One incarnation of a target; its next entry announces ``cold_seconds`` of cold start."""
 
     id: str
     kind: str
     data_centre: str
     born: int
-    link: FaultProxy
+    proxy: FaultProxy
     program: Program
     cold_seconds: float = 0.0
 
 
 class ProgramFleet:
-    """Start, fail and end the programs; each process is known by the object that started it."""
+    """The programs of a run; signals go only to processes that the fleet started itself."""
 
-    def __init__(self, folder: Path, *, seed: int, routers: int, promises: Promises) -> None:
+    def __init__(self, folder: Path, *, seed: int, routers: int, checker: InvariantChecker) -> None:
         self.clock = SystemClock()
-        self.breaches: list[Breach] = []
-        # Called with a target that ended under a request.
-        self.target_ended: Callable[[Target], None] = lambda _: None
+        self.violations: list[Violation] = []
+        # Called with a target that crashed under a request.
+        self.on_target_crashed: Callable[[Target], None] = lambda _: None
         self.version = 0
         self._folder = folder
         self._seed = seed
-        self._promises = promises
-        self._ending = False
-        self._lives = 0
-        # What the newest record of each key says, and when it was written.
-        self._written: dict[tuple[str, str], tuple[float, dict[str, Any]]] = {}
-        self._lost_after = 0.0
+        self._checker = checker
+        self._stopping = False
+        self._incarnations = 0
+        # Newest record by topic and key, with the time of its writing.
+        self._newest_records: dict[tuple[str, str], tuple[float, dict[str, Any]]] = {}
+        self._lost_since = 0.0
         self._programs: list[Program] = []
-        # Programs inherit it: one that is still starting must not end by the notice of a
-        # suspension.
-        signal.signal(SUSPENDING, signal.SIG_IGN)
-        # Addresses of loopback that other runs on this machine do not use.
+        # Programs inherit this: the suspend signal must not end one that has no handler yet.
+        signal.signal(SUSPEND_SIGNAL, signal.SIG_IGN)
+        # Loopback addresses derived from the process id, so that concurrent runs do not collide.
         number = os.getpid()
         self._base = f"127.{1 + number // 250 % 250}.{number % 250}"
         self._store_host = f"{self._base}.1"
         self.store = self._start("store", "store_program", f"{self._store_host}:0")
         self.targets = [
             self._start_target(kind, data_centre)
-            for kind in (ONCE, STREAM)
+            for kind in (NON_IDEMPOTENT, STREAM)
             for data_centre in documents.DATA_CENTRES
         ]
         self.publish_configuration()
@@ -105,7 +105,7 @@
         )
 
     def publish_configuration(self) -> None:
-        """Publish the next version."""
+        """Publish the next version of the configuration."""
         self.version += 1
         self._publish(
             documents.CONFIGURATION_TOPIC,
@@ -114,92 +114,94 @@
             version=self.version,
         )
 
-    def tell_version(self) -> None:
-        """Let callers ask for the newest route."""
-        self.callers.tell(str(self.version))
+    def send_version(self) -> None:
+        """Send the newest version to the callers, which then probe its route."""
+        self.callers.send_line(str(self.version))
 
     def restart_router(self, router: Router, number: signal.Signals) -> None:
-        """End a router by a signal, as the platform does, and start it again."""
+        """Stop a router by a signal, by SIGKILL after the grace period, and start it again."""
         router.program.signal(number)
         if not router.program.wait(documents.GRACE_SECONDS):
             router.program.signal(signal.SIGKILL)
-        router.program.end()
-        self._promises.note_router(router.address, time.monotonic())
+        router.program.kill()
+        self._checker.record_router_end(router.address, time.monotonic())
         router.program = self._start_router(router.name)
 
     def replace_target(self, target: Target, *, crash: bool) -> None:
-        """End a target, at once or after it said that it leaves; another life takes its place."""
+        """Replace a target by a new one, after a crash or after it announced that it leaves."""
         if crash:
-            target.link.refuse()
-            target.program.end()
-            gevent.sleep(LAPSE_SECONDS)
+            target.proxy.stop_listening()
+            target.program.kill()
+            gevent.sleep(ENTRY_LINGER_SECONDS)
         else:
             self._announce(target, draining=True)
-            self._promises.note_leaving(target.id, time.monotonic())
-            gevent.sleep(LEAVE_SECONDS)
+            self._checker.record_leaving(target.id, time.monotonic())
+            gevent.sleep(SERVE_WHILE_LEAVING_SECONDS)
         self._publish(documents.TARGETS_TOPIC, target.id, None)
         self.targets.append(self._start_target(target.kind, target.data_centre))
         self.targets.remove(target)
         if not crash:
-            gevent.sleep(LAPSE_SECONDS)
-            target.program.end()
-        target.link.stop()
+            gevent.sleep(ENTRY_LINGER_SECONDS)
+            target.program.kill()
+        target.proxy.stop()
 
     def restart_target(self, target: Target) -> None:
-        """End a target at once and start it again under its id, which another life has then."""
-        target.link.refuse()
-        target.program.end()
-        gevent.sleep(LAPSE_SECONDS)
-        self.targets.append(self._start_target(target.kind, target.data_centre, id_=target.id))
+        """Kill a target and start a new incarnation under the same id."""
+        target.proxy.stop_listening()
+        target.program.kill()
+        gevent.sleep(ENTRY_LINGER_SECONDS)
+        self.targets.append(
+            self._start_target(target.kind, target.data_centre, target_id=target.id)
+        )
         self.targets.remove(target)
-        target.link.stop()
+        target.proxy.stop()
 
-    def say_leaving(self, target: Target) -> None:
-        """Let a target say in its answers alone that it leaves; its entry stays as it was."""
-        _tell_target(target, leaving=True)
+    def notify_leaving(self, target: Target) -> None:
+        """Let a target announce that it leaves in its answers only, not in its entry."""
+        _send_command(target, leaving=True)
 
-    def ask_rest(self, target: Target, seconds: float) -> None:
-        """Let a target turn away all it gets and ask for rest; none ends that."""
-        _tell_target(target, rest=seconds)
+    def request_backoff(self, target: Target, seconds: float) -> None:
+        """Let a target refuse all requests and ask for back-off; 0 seconds ends that."""
+        _send_command(target, rest=seconds)
 
     def announce(self, target: Target) -> None:
-        """Let a target say what it is."""
+        """Publish the entry of a target."""
         self._announce(target, draining=False)
 
-    def publish_order(self, data_centre: str, *, emptied: bool) -> None:
-        """Empty a data centre, or take it back."""
-        key = documents.emptying_key(data_centre)
-        self._publish(documents.CONFIGURATION_TOPIC, key, "{}" if emptied else None)
+    def publish_evacuation(self, data_centre: str, *, evacuated: bool) -> None:
+        """Evacuate a data centre, or reinstate it."""
+        key = documents.evacuation_key(data_centre)
+        self._publish(documents.CONFIGURATION_TOPIC, key, "{}" if evacuated else None)
 
     def publish_entry(self, topic: str, key: str, value: str | None) -> None:
-        """Write as anybody may."""
+        """Write any record, as a foreign writer; ``None`` deletes the key."""
         self._publish(topic, key, value)
 
-    def lose_writes(self, seconds: float) -> None:
-        """Let the store come back from a copy that is some seconds old."""
-        self._lost_after = time.monotonic() - seconds
-        self.store.tell(json.dumps({"fall_back": seconds}))
+    def roll_back_store(self, seconds: float) -> None:
+        """Roll the store back by some seconds, as if restored from an old copy."""
+        self._lost_since = time.monotonic() - seconds
+        self.store.send_line(json.dumps({"fall_back": seconds}))
 
-    def outgrow_lost(self) -> None:
-        """Let the log grow past where it ended before a loss, as busy writers do."""
-        self.store.tell(json.dumps({"outgrow": True}))
+    def grow_past_rollback(self) -> None:
+        """Append filler until the log is longer than before the rollback, as busy writers do."""
+        self.store.send_line(json.dumps({"outgrow": True}))
 
-    def write_again(self, source: random.Random) -> None:
-        """Write what the copy lacks, in some order."""
-        lost = [key for key, (at, _) in self._written.items() if at >= self._lost_after]
-        source.shuffle(lost)
+    def rewrite_lost(self, rng: random.Random) -> None:
+        """Write the records again that the rollback lost, in random order."""
+        lost = [key for key, (at, _) in self._newest_records.items() if at >= self._lost_since]
+        rng.shuffle(lost)
         for key in lost:
-            _, said = self._written[key]
-            # The next loss may take it again.
-            self._written[key] = (time.monotonic(), said)
-            self.store.tell(json.dumps(said))
-
-    def end(self) -> None:
-        """End every process that this fleet started, and no other; none starts from now on."""
-        self._ending = True
+            _, message = self._newest_records[key]
+            # The next rollback may lose it again.
+            self._newest_records[key] = (time.monotonic(), message)
+            self.store.send_line(json.dumps(message))
+
+    def stop(self) -> None:
+        """Kill every process that this fleet started; none can start from now on."""
+        self._stopping = True
         for program in reversed(self._programs):
-            program.end()
-        for proxy in [*(r.store for r in self.routers), *(t.link for t in self.targets)]:
+            program.kill()
+        for proxy in [*(r.store_proxy for r in self.routers), *(t.proxy for t in self.targets)]:
             proxy.stop()
 
     def _make_router(self, host: str, hosts: list[str]) -> Router:
@@ -217,16 +219,16 @@
         }
         return self._launch(name, ROUTER_MODULE, lambda _: None, environment=environment)
 
-    def _start_target(self, kind: str, data_centre: str, *, id_: str = "") -> Target:
-        self._lives += 1
-        id_ = id_ or f"t{self._lives}"
-        seed = f"{self._seed} {self._lives}"
-        program = self._start(id_, "target_program", id_, kind, self._store_host, seed)
-        link = FaultProxy(self._store_host, (self._store_host, program.port), self.clock)
-        link.start()
-        # The number of a life stands in for the time at which it began.
-        target = Target(id_, kind, data_centre, self._lives, link, program)
-        self._promises.note_target(id_, data_centre)
+    def _start_target(self, kind: str, data_centre: str, *, target_id: str = "") -> Target:
+        self._incarnations += 1
+        target_id = target_id or f"t{self._incarnations}"
+        seed = f"{self._seed} {self._incarnations}"
+        program = self._start(target_id, "target_program", target_id, kind, self._store_host, seed)
+        proxy = FaultProxy(self._store_host, (self._store_host, program.port), self.clock)
+        proxy.start()
+        # The count of incarnations serves as ``born``; only its order matters.
+        target = Target(target_id, kind, data_centre, self._incarnations, proxy, program)
+        self._checker.record_target_start(target_id, data_centre)
         self._announce(target, draining=False)
         return target
 
@@ -234,7 +236,7 @@
         service = documents.SERVICES[target.kind]
         value = documents.announcement(
             service,
-            target.link.address,
+            target.proxy.address,
             data_centre=target.data_centre,
             born=target.born,
             draining=draining,
@@ -242,13 +244,13 @@
         )
         self._publish(documents.TARGETS_TOPIC, target.id, value)
 
-    def _publish(self, topic: str, key: str, value: str | None, **more: int) -> None:
-        said = {"topic": topic, "key": key, "value": value, **more}
-        self._written[topic, key] = (time.monotonic(), said)
-        self.store.tell(json.dumps(said))
+    def _publish(self, topic: str, key: str, value: str | None, **fields: int) -> None:
+        message = {"topic": topic, "key": key, "value": value, **fields}
+        self._newest_records[topic, key] = (time.monotonic(), message)
+        self.store.send_line(json.dumps(message))
 
     def _start(self, name: str, module: str, *arguments: str) -> Program:
-        return self._launch(name, f"{MODULES}.{module}", self._hear, *arguments)
+        return self._launch(name, f"{MODULES}.{module}", self._handle_message, *arguments)
 
     def _launch(
         self,
@@ -258,34 +260,34 @@
         *arguments: str,
         environment: Mapping[str, str] = {},
     ) -> Program:
-        if self._ending:
+        if self._stopping:
             raise gevent.GreenletExit
         command = [sys.executable, "-m", module, *arguments]
         program = Program(command, self._folder / f"{name}.log", listener, environment)
         self._programs.append(program)
-        if self._ending:
-            program.end()
+        if self._stopping:
+            program.kill()
         return program
 
-    def _hear(self, said: dict[str, Any]) -> None:
-        self.breaches += self._promises.take(said)
-        if "ends" in said:
-            self._let_end(said["target"])
+    def _handle_message(self, message: dict[str, Any]) -> None:
+        self.violations += self._checker.check(message)
+        if "ends" in message:
+            self._allow_exit(message["target"])
 
-    def _let_end(self, id_: str) -> None:
-        target = next((one for one in self.targets if one.id == id_), None)
+    def _allow_exit(self, target_id: str) -> None:
+        target = next((target for target in self.targets if target.id == target_id), None)
         if target is not None:
-            target.link.refuse()
-            target.program.tell(json.dumps({"end": True}))
-            self.target_ended(target)
+            target.proxy.stop_listening()
+            target.program.send_line(json.dumps({"end": True}))
+            self.on_target_crashed(target)
 
     def _settings(self, name: str) -> Path:
         return self._folder / f"{name}.conf"
 
 
-def _tell_target(target: Target, **said: float) -> None:
+def _send_command(target: Target, **message: float) -> None:
     try:
-        target.program.tell(json.dumps(said))
+        target.program.send_line(json.dumps(message))
     except BrokenPipeError:
-        # It has ended under a request, and another one is about to take its place.
-        logger.debug("target %s has ended and hears nothing more", target.id)
+        # It crashed under a request and is about to be replaced.
+        logger.debug("target %s has exited; command dropped", target.id)
--- a/packages/loomyard-standins/src/loomyard_standins/programs/store_program.py
+++ b/packages/loomyard-standins/src/loomyard_standins/programs/store_program.py
@@ -1,4 +1,4 @@
-"""The store as a program: keyed records, appends, long reads; lines of its input tell it more."""
+"""The log store as a program: appends, long-poll reads, listings; commands on standard input."""
 
 from __future__ import annotations
 
@@ -20,53 +20,57 @@
 from gevent.event import Event  # noqa: E402
 
 from loomyard.util.tcp import NoDelayServer  # noqa: E402
-from loomyard_standins.programs.words import MILLISECONDS, say, told  # noqa: E402
+from loomyard_standins.programs.soak_protocol import (  # noqa: E402
+    MILLISECONDS_PER_SECOND,
+    emit,
+    input_lines,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
 ERA_HEADER = "Store-Era"
-# Stands for what busy writers write that no router looks for.
-NOBODYS_KEY = "nobody's"
+# Key of filler records, which stand for other writers; no router reads it.
+FILLER_KEY = "nobody's"
 
 
 @define(eq=False)
 class Topic:
-    """Records by offset; a value of ``None`` drops its key.
+    """Records by offset; a value of ``None`` deletes its key.
 
-    ``ended`` is the offset at which it ended before the last loss.
+    ``end_before_rollback`` is its end offset before the last rollback.
     """
 
     records: list[tuple[str, bytes | None]] = field(factory=list)
-    ended: int = 0
+    end_before_rollback: int = 0
     written_at: list[float] = field(factory=list)
     grown: Event = field(factory=Event)
 
     def add(self, key: str, value: bytes | None) -> None:
-        """Keep a record and wake who waits for it."""
+        """Append a record and wake the reads that wait for it."""
         self.records.append((key, value))
         self.written_at.append(time.monotonic())
         grown, self.grown = self.grown, Event()
         grown.set()
 
-    def fall_back(self, seconds: float) -> None:
-        """Lose what was written in the last seconds."""
+    def roll_back(self, seconds: float) -> None:
+        """Drop the records written in the last seconds."""
         oldest = time.monotonic() - seconds
         kept = sum(at <= oldest for at in self.written_at)
-        self.ended = len(self.records)
+        self.end_before_rollback = len(self.records)
         del self.records[kept:], self.written_at[kept:]
 
 
 @define(eq=False)
 class StoreProgram:
-    """Topics with one partition each; ``busy`` refuses every call, ``era`` counts losses."""
+    """Topics with one partition each; ``busy`` refuses every call, ``era`` counts rollbacks."""
 
     busy: bool = False
     era: int = 0
     topics: defaultdict[str, Topic] = field(factory=lambda: defaultdict(Topic))
 
     def serve(self, environ: dict[str, Any], start_response: Callable) -> Iterable[bytes]:
-        """Answer a call; a WSGI application."""
+        """Answer a call; this is a WSGI application."""
         query = {name: values[0] for name, values in parse_qs(environ["QUERY_STRING"]).items()}
         topic = self.topics[query["topic"]]
         if self.busy:
@@ -75,7 +79,7 @@
             body = _append(topic, environ["wsgi.input"].read())
         elif environ["PATH_INFO"] == "/log-read":
             offset = int(query["from"])
-            body = self._read(topic, offset, int(query["wait_ms"]) / MILLISECONDS)
+            body = self._read(topic, offset, int(query["wait_ms"]) / MILLISECONDS_PER_SECOND)
             if self.busy:
                 return self._answer(start_response, "503 Service Unavailable", b"")
             if offset > len(topic.records):
@@ -90,34 +94,34 @@
         start_response(status, headers)
         return [body]
 
-    def follow(self, lines: Iterable[str]) -> None:
-        """Do what lines of JSON say until they end."""
+    def run_commands(self, lines: Iterable[str]) -> None:
+        """Execute commands, a JSON document a line, until the input ends."""
         for line in lines:
-            told = json.loads(line)
-            if "busy" in told:
-                self.busy = told["busy"]
+            command = json.loads(line)
+            if "busy" in command:
+                self.busy = command["busy"]
                 continue
-            if "fall_back" in told:
-                self._fall_back(told["fall_back"])
+            if "fall_back" in command:
+                self._roll_back(command["fall_back"])
                 continue
-            if "outgrow" in told:
-                self._outgrow()
+            if "outgrow" in command:
+                self._grow_past_rollback()
                 continue
-            value = None if told["value"] is None else told["value"].encode()
-            self.topics[told["topic"]].add(told["key"], value)
-            say(acked=told["key"], version=told.get("version"), dropped=value is None)
+            value = None if command["value"] is None else command["value"].encode()
+            self.topics[command["topic"]].add(command["key"], value)
+            emit(acked=command["key"], version=command.get("version"), dropped=value is None)
 
-    def _fall_back(self, seconds: float) -> None:
-        """Come back from a copy that is some seconds old."""
+    def _roll_back(self, seconds: float) -> None:
+        """Return to the state of some seconds ago and begin a new era."""
         self.era += 1
         for topic in self.topics.values():
-            topic.fall_back(seconds)
+            topic.roll_back(seconds)
 
-    def _outgrow(self) -> None:
-        """Let each topic grow past where it ended before the last loss."""
+    def _grow_past_rollback(self) -> None:
+        """Append filler until each topic is longer than before the last rollback."""
         for topic in self.topics.values():
-            while len(topic.records) <= topic.ended:
-                topic.add(NOBODYS_KEY, None)
+            while len(topic.records) <= topic.end_before_rollback:
+                topic.add(FILLER_KEY, None)
 
     def _read(self, topic: Topic, offset: int, wait: float) -> bytes:
         with gevent.Timeout(wait, False):
@@ -159,8 +163,8 @@
     store = StoreProgram()
     server = NoDelayServer((host, int(port)), store.serve, log=None)
     server.start()
-    say(listening=server.server_port)
-    store.follow(told())
+    emit(listening=server.server_port)
+    store.run_commands(input_lines())
     return 0
 
 
--- a/packages/loomyard-standins/src/loomyard_standins/programs/suspended_router.py
+++ b/packages/loomyard-standins/src/loomyard_standins/programs/suspended_router.py
@@ -1,8 +1,8 @@
-"""A router whose steady clock stands still while its VM is suspended.
+"""A router whose monotonic clock stops while its VM is suspended.
 
-Told by a signal that a stop is a suspension, the process takes the time of that stop out of what
-its steady clock tells; the one that counts suspensions and the time of day go on. Timers of the
-event loop are the kernel's and fire at once, as after a pause.
+A signal before SIGSTOP marks the stop as a suspension; the process then subtracts its length from
+CLOCK_MONOTONIC. CLOCK_BOOTTIME and the time of day go on. Timers of the event loop are timers of
+the kernel and fire at once afterwards, as after a process pause.
 """
 
 from __future__ import annotations
@@ -12,41 +12,43 @@
 import time
 
 from loomyard_router.platform.__main__ import main
-from loomyard_standins.programs.words import SUSPENDING
+from loomyard_standins.programs.soak_protocol import SUSPEND_SIGNAL
 
 
-class SteadyClock:
-    """The steady clock of the machine less its suspensions."""
+class SuspendableClock:
+    """CLOCK_MONOTONIC less the suspensions of the VM."""
 
     def __init__(self) -> None:
         self._read = time.clock_gettime
-        self._lost = 0.0
+        self._suspended_seconds = 0.0
         self._suspended_at: float | None = None
 
     def install(self) -> None:
-        """Let the process read this clock, and hear of suspensions."""
+        """Replace the clock functions of ``time`` and handle the signals of a suspension."""
         time.monotonic = self.now
         time.clock_gettime = self.read
-        signal.signal(SUSPENDING, lambda *_: self._begin())
+        signal.signal(SUSPEND_SIGNAL, lambda *_: self._begin())
         signal.signal(signal.SIGCONT, lambda *_: self._end())
 
     def now(self) -> float:
-        """Return steady seconds."""
+        """Return monotonic seconds."""
         return self.read(time.CLOCK_MONOTONIC)
 
     def read(self, which: int) -> float:
-        """Return what a clock of the kernel tells."""
-        return self._read(which) - (self._lost if which == time.CLOCK_MONOTONIC else 0.0)
+        """Return the seconds of a clock of the kernel, for CLOCK_MONOTONIC without suspensions."""
+        return self._read(which) - (
+            self._suspended_seconds if which == time.CLOCK_MONOTONIC else 0.0
+        )
 
     def _begin(self) -> None:
         self._suspended_at = self._read(time.CLOCK_MONOTONIC)
 
     def _end(self) -> None:
         if self._suspended_at is not None:
-            self._lost += self._read(time.CLOCK_MONOTONIC) - self._suspended_at
+            self._suspended_seconds += self._read(time.CLOCK_MONOTONIC) - self._suspended_at
             self._suspended_at = None
 
 
 if __name__ == "__main__":
-    SteadyClock().install()
+    SuspendableClock().install()
     sys.exit(main())
--- a/packages/loomyard-standins/src/loomyard_standins/programs/target_program.py
+++ b/packages/loomyard-standins/src/loomyard_standins/programs/target_program.py
@@ -1,4 +1,4 @@
-"""A target as a program: it says each request that it begins to run, and fails on purpose."""
+"""A target as a program: it reports each request that it runs, and fails at random."""
 
 from __future__ import annotations
 
@@ -18,58 +18,58 @@
 from gevent.event import Event  # noqa: E402
 from gevent.server import StreamServer  # noqa: E402
 
-from loomyard_standins.programs.words import (  # noqa: E402
-    ATTEMPT_ID,
-    ENDING_BODIES,
-    LEAVING,
-    NOT_EXECUTED,
-    RETRY_AFTER,
-    STAMP,
+from loomyard_standins.programs.soak_protocol import (  # noqa: E402
+    ATTEMPT_ID_HEADER,
+    CRASHING_BODIES,
+    LEAVING_HEADER,
+    NOT_EXECUTED_HEADER,
+    RETRY_AFTER_HEADER,
+    STAMP_HEADER,
     STREAM,
     STREAM_EVENTS,
-    say,
+    emit,
+    expected_answer,
+    input_lines,
     stream_event,
-    told,
-    whole_answer,
 )
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Parts of the requests that are refused, break off midway or end in an error of the target.
-REFUSED_PART = 0.1
-CUT_PART = 0.05
-ERROR_PART = 0.05
+# Fractions of the requests that are refused, cut off midway or answered with status 500.
+REFUSED_FRACTION = 0.1
+CUT_FRACTION = 0.05
+ERROR_FRACTION = 0.05
 WORK_SECONDS = 0.02
 EVENT_SECONDS = 0.03
 BLOCK_BYTES = 65536
-ENDED = 1
+EXIT_STATUS = 1
 
 
 @define(eq=False)
 class TargetProgram:
-    """One life of a target; ``kind`` tells what its service does."""
+    """One incarnation of a target; ``kind`` is the kind of requests that it serves."""
 
     id: str
     kind: str
-    source: random.Random
-    # What it says of itself in its answers: that it leaves, and the seconds of rest it wants.
+    rng: random.Random
+    # Notices in its answers: that it leaves, and the back-off in seconds that its refusals ask for.
     leaving: bool = False
-    rest: float = 0.0
-    _may_end: Event = field(factory=Event)
+    backoff: float = 0.0
+    _exit_allowed: Event = field(factory=Event)
 
-    def follow(self, lines: Iterable[str]) -> None:
-        """Do what lines of JSON say until they end."""
+    def run_commands(self, lines: Iterable[str]) -> None:
+        """Execute commands, a JSON document a line, until one allows the exit or the input ends."""
         for line in lines:
-            told_now = json.loads(line)
-            self.leaving = told_now.get("leaving", self.leaving)
-            self.rest = told_now.get("rest", self.rest)
-            if told_now.get("end"):
+            command = json.loads(line)
+            self.leaving = command.get("leaving", self.leaving)
+            self.backoff = command.get("rest", self.backoff)
+            if command.get("end"):
                 break
-        self._may_end.set()
+        self._exit_allowed.set()
 
     def serve(self, sock: socket.socket, _: object) -> None:
-        """Answer the requests of a connection."""
+        """Answer the requests of a connection, with keep-alive."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         data = b""
         try:
@@ -90,39 +90,39 @@
             sock.close()
 
     def _answer(self, sock: socket.socket, fields: dict[str, str], body: bytes) -> bool:
-        """Answer a request; false where the connection is to end."""
-        attempt_id = fields.get(ATTEMPT_ID.lower(), "")
-        if self.rest:
-            say(turned_away=attempt_id, target=self.id, rest=self.rest)
-            lines = f"{NOT_EXECUTED}: 1\r\n{RETRY_AFTER}: {self.rest:g}"
+        """Answer a request; return false if the connection is to be closed."""
+        attempt_id = fields.get(ATTEMPT_ID_HEADER.lower(), "")
+        if self.backoff:
+            emit(turned_away=attempt_id, target=self.id, rest=self.backoff)
+            lines = f"{NOT_EXECUTED_HEADER}: 1\r\n{RETRY_AFTER_HEADER}: {self.backoff:g}"
             sock.sendall(self._head("503 Service Unavailable", attempt_id, lines, 0))
             return True
-        if self.source.random() < REFUSED_PART:
-            line = f"{NOT_EXECUTED}: 1"
+        if self.rng.random() < REFUSED_FRACTION:
+            line = f"{NOT_EXECUTED_HEADER}: 1"
             sock.sendall(self._head("503 Service Unavailable", attempt_id, line, 0))
             return True
-        ending = next((kind for kind, ends in ENDING_BODIES.items() if ends == body), None)
-        say(run=attempt_id, target=self.id, after=fields.get("last-event-id", ""), ending=ending)
+        crashing = next((kind for kind, bad in CRASHING_BODIES.items() if bad == body), None)
+        emit(run=attempt_id, target=self.id, after=fields.get("last-event-id", ""), ending=crashing)
         gevent.sleep(WORK_SECONDS)
-        if ending is not None:
-            self._end(ending)
-        stamp = f"{STAMP}: {self.id}.{attempt_id}"
-        if self.source.random() < ERROR_PART:
+        if crashing is not None:
+            self._crash(crashing)
+        stamp = f"{STAMP_HEADER}: {self.id}.{attempt_id}"
+        if self.rng.random() < ERROR_FRACTION:
             sock.sendall(self._head("500 Internal Server Error", attempt_id, stamp, 0))
             return True
-        whole = self.source.random() >= CUT_PART
+        complete = self.rng.random() >= CUT_FRACTION
         if self.kind == STREAM:
-            return self._stream(sock, attempt_id, stamp, fields, whole=whole)
-        answer = whole_answer(attempt_id, body)
+            return self._stream(sock, attempt_id, stamp, fields, complete=complete)
+        answer = expected_answer(attempt_id, body)
         sock.sendall(self._head("200 OK", attempt_id, stamp, len(answer)))
-        sock.sendall(answer if whole else answer[: len(answer) // 2])
-        return whole
+        sock.sendall(answer if complete else answer[: len(answer) // 2])
+        return complete
 
-    def _end(self, ending: str) -> None:
-        """End once the running process has closed the address, as a machine does at once."""
-        say(ends=ending, target=self.id)
-        self._may_end.wait()
-        os._exit(ENDED)
+    def _crash(self, kind: str) -> None:
+        """Exit once the soak has closed the address, which a VM would do at the same moment."""
+        emit(ends=kind, target=self.id)
+        self._exit_allowed.wait()
+        os._exit(EXIT_STATUS)
 
     def _head(self, status: str, attempt_id: str, line: str, length: int | None) -> bytes:
         framing = (
@@ -130,9 +130,9 @@
             if length is None
             else f"Content-Length: {length}"
         )
-        lines = [f"HTTP/1.1 {status}", f"{ATTEMPT_ID}: {attempt_id}", line, framing]
+        lines = [f"HTTP/1.1 {status}", f"{ATTEMPT_ID_HEADER}: {attempt_id}", line, framing]
         if self.leaving:
-            lines.append(f"{LEAVING}: 1")
+            lines.append(f"{LEAVING_HEADER}: 1")
         return "\r\n".join([*lines, "", ""]).encode()
 
     def _stream(
@@ -142,18 +142,18 @@
         stamp: str,
         fields: dict[str, str],
         *,
-        whole: bool,
+        complete: bool,
     ) -> bool:
         after = int(fields.get("last-event-id") or 0)
-        last = STREAM_EVENTS if whole else self.source.randint(after, STREAM_EVENTS - 1)
+        last = STREAM_EVENTS if complete else self.rng.randint(after, STREAM_EVENTS - 1)
         sock.sendall(self._head("200 OK", attempt_id, stamp, None))
         for number in range(after + 1, last + 1):
             event = stream_event(attempt_id, number)
             sock.sendall(b"%x\r\n%b\r\n" % (len(event), event))
             gevent.sleep(EVENT_SECONDS)
-        if whole:
+        if complete:
             sock.sendall(b"0\r\n\r\n")
-        return whole
+        return complete
 
 
 def _receive(sock: socket.socket) -> bytes:
@@ -169,13 +169,13 @@
 
 
 def main() -> int:
-    """Serve as ``ID KIND HOST SEED`` until the process is ended."""
-    id_, kind, host, seed = sys.argv[1:5]
-    target = TargetProgram(id_, kind, random.Random(seed))
+    """Serve with the arguments ``ID KIND HOST SEED`` until the process is killed."""
+    target_id, kind, host, seed = sys.argv[1:5]
+    target = TargetProgram(target_id, kind, random.Random(seed))
     server = StreamServer((host, 0), target.serve)
     server.start()
-    say(listening=server.server_port)
-    gevent.spawn(target.follow, told())
+    emit(listening=server.server_port)
+    gevent.spawn(target.run_commands, input_lines())
     server.serve_forever()
     return 0
 
--- a/tests/test_loomyard_standins/test_programs/test_soak_run.py
+++ b/tests/test_loomyard_standins/test_programs/test_soak_run.py
@@ -1,4 +1,4 @@
-"""Tests of the soak of real programs: a short run of one seed, and that plans follow from seeds."""
+"""Tests of the soak of the real programs: a short run, and plans determined by their seeds."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class SoakRunTest(unittest.TestCase):
-    def test_a_short_run_breaks_no_promise_and_serves_again(self) -> None:
+    def test_a_short_run_violates_no_invariant_and_serves_again(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             run = SoakRun(Path(folder), seed=SEED, seconds=SECONDS, every=0.8, routers=2)
-            report = run.play()
-        self.assertEqual([], run.breaches)
+            report = run.execute()
+        self.assertEqual([], run.violations)
         self.assertGreater(report["faults"], 0)
         self.assertGreater(report["whole"], 0)
 
-    def test_a_plan_follows_from_its_seed_and_ends_in_time(self) -> None:
+    def test_a_plan_is_determined_by_its_seed_and_ends_in_time(self) -> None:
         plan = draw_plan(SEED, seconds=60.0, every=0.5)
         self.assertEqual(plan, draw_plan(SEED, seconds=60.0, every=0.5))
         self.assertNotEqual(plan, draw_plan(SEED + 1, seconds=60.0, every=0.5))
