--- a/packages/loomyard-standins/src/loomyard_standins/benches/members/__main__.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/members/__main__.py
@@ -1,4 +1,4 @@
-"""Measure membership and links between router processes on one machine."""
+"""Measure membership and links between router processes on one VM."""
 
 from __future__ import annotations
 
@@ -18,15 +18,17 @@
 ROUTERS = 8
 IDLE_SECONDS = 10.0
 KILLS = 5
-DEATH_PATIENCE = 10.0
-TURNS = 3000
-PACE = 0.0005
+# Longest wait for a node to declare a killed router dead.
+DEATH_TIMEOUT_SECONDS = 10.0
+ROUNDS = 3000
+ROUND_SECONDS = 0.0005
+# Messages sent back to back in one round.
 BATCHES = (1, 20)
 LINKS = 24
 
 
 class NodeProcess:
-    """A node in a process of its own."""
+    """A node in a process of its own, controlled by lines on its standard input."""
 
     def __init__(self, name: str, seed: str = "") -> None:
         self.name = name
@@ -35,8 +37,9 @@
             command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
         )
 
-    def call(self, *words: object) -> dict[str, Any]:
-        self._process.stdin.write(" ".join(str(word) for word in words) + "\n")
+    def call(self, *arguments: object) -> dict[str, Any]:
+        """Run a command with its arguments and return its JSON answer."""
+        self._process.stdin.write(" ".join(str(argument) for argument in arguments) + "\n")
         self._process.stdin.flush()
         return json.loads(self._process.stdout.readline())
 
@@ -46,10 +49,10 @@
 
 
 def main() -> int:
-    """Run all measurements; the last line is their JSON."""
+    """Run all measurements and print their results as one line of JSON."""
     nodes = start(ROUTERS)
     try:
-        figures = {
+        results = {
             "idle": measure_idle(nodes),
             "links": measure_messages(nodes[0], nodes[1]),
             "death_seconds": measure_deaths(nodes),
@@ -57,13 +60,13 @@
     finally:
         for node in nodes:
             node.kill()
-    figures["link_bytes"] = measure_memory()
-    print(json.dumps(figures))
+    results["link_bytes"] = measure_memory()
+    print(json.dumps(results))
     return 0
 
 
 def start(count: int) -> list[NodeProcess]:
-    """Start nodes and wait until each knows all."""
+    """Start nodes and wait until each has all of them in its membership."""
     first = NodeProcess("router-0")
     seed = first.call("sample")["address"]
     nodes = [first, *(NodeProcess(f"router-{n}", seed) for n in range(1, count))]
@@ -72,13 +75,13 @@
 
 
 def await_live(nodes: list[NodeProcess]) -> None:
-    """Wait until each knows all."""
+    """Wait until each node has all nodes as live members."""
     while any(node.call("sample")["live"] < len(nodes) for node in nodes):
         gevent.sleep(0.1)
 
 
 def measure_idle(nodes: list[NodeProcess]) -> dict[str, float]:
-    """Return datagrams, bytes and processor share of one router while nothing happens."""
+    """Return mean datagrams, bytes, CPU share and memory of an idle router."""
     gevent.sleep(5.0)
     before = [node.call("sample") for node in nodes]
     gevent.sleep(IDLE_SECONDS)
@@ -94,9 +97,9 @@
 
 
 def mean_rate(pairs: list[tuple[dict, dict]], field: str) -> float:
-    """Return how fast a counter grew, over all routers."""
-    grown = [total(b, field) - total(a, field) for a, b in pairs]
-    return statistics.mean(grown) / IDLE_SECONDS
+    """Return the mean growth of a counter a second, over all routers."""
+    increases = [total(b, field) - total(a, field) for a, b in pairs]
+    return statistics.mean(increases) / IDLE_SECONDS
 
 
 def total(sample: dict[str, Any], field: str) -> int:
@@ -105,25 +108,25 @@
 
 
 def measure_messages(sender: NodeProcess, receiver: NodeProcess) -> dict[str, Any]:
-    """Return processor time and bytes of small messages that travel alone and in batches."""
+    """Return CPU time and bytes of a small message, sent alone and in batches."""
     sender.call("ask", receiver.name)
-    timer = sender.call("flood", receiver.name, TURNS, PACE, 0)["cpu"]
-    figures: dict[str, Any] = {"timer_microseconds_a_turn": 1e6 * timer / TURNS}
+    timer = sender.call("flood", receiver.name, ROUNDS, ROUND_SECONDS, 0)["cpu"]
+    results: dict[str, Any] = {"timer_microseconds_a_turn": 1e6 * timer / ROUNDS}
     for batch in BATCHES:
-        count = TURNS * batch
+        count = ROUNDS * batch
         before = sender.call("sample"), receiver.call("sample")
-        used = sender.call("flood", receiver.name, TURNS, PACE, batch)["cpu"] - timer
+        used = sender.call("flood", receiver.name, ROUNDS, ROUND_SECONDS, batch)["cpu"] - timer
         while (after := receiver.call("sample"))["received"] < before[1]["received"] + count:
             gevent.sleep(0.05)
         after_sender = sender.call("sample")
         size = grown(before[0], after_sender, "frame", "sent_bytes")
         size += grown(before[0], after_sender, "bench-counter", "sent_bytes")
-        figures[f"batch_{batch}"] = {
+        results[f"batch_{batch}"] = {
             "sender_microseconds": 1e6 * used / count,
             "receiver_microseconds": 1e6 * (after["cpu"] - before[1]["cpu"]) / count,
             "bytes": size / count,
         }
-    return figures
+    return results
 
 
 def grown(before: dict[str, Any], after: dict[str, Any], kind: str, field: str) -> int:
@@ -132,32 +135,34 @@
 
 
 def measure_deaths(nodes: list[NodeProcess]) -> dict[str, float]:
-    """Kill routers that have a link to router-0; return when the last one knew."""
+    """Kill routers linked to router-0; return the seconds until all nodes declared them dead."""
     seed = nodes[0].call("sample")["address"]
-    took = []
+    durations = []
     for number in range(KILLS):
         victim = nodes.pop()
         nodes[0].call("ask", victim.name)
         killed_at = time.monotonic()
         victim.kill()
-        took.append(max(death_seen(node, victim.name, killed_at) for node in nodes) - killed_at)
+        durations.append(
+            max(find_death(node, victim.name, killed_at) for node in nodes) - killed_at
+        )
         nodes.append(NodeProcess(f"spare-{number}", seed))
         await_live(nodes)
-    return {"median": statistics.median(took), "longest": max(took)}
+    return {"median": statistics.median(durations), "longest": max(durations)}
 
 
-def death_seen(node: NodeProcess, name: str, since: float) -> float:
-    """Return when a node declared a router dead."""
-    while time.monotonic() < since + DEATH_PATIENCE:
-        for at, who, state in node.call("sample")["changes"]:
-            if who == name and state == "dead" and at >= since:
+def find_death(node: NodeProcess, name: str, since: float) -> float:
+    """Return the monotonic time at which a node declared a router dead."""
+    while time.monotonic() < since + DEATH_TIMEOUT_SECONDS:
+        for at, member, state in node.call("sample")["changes"]:
+            if member == name and state == "dead" and at >= since:
                 return at
         gevent.sleep(0.05)
-    raise TimeoutError(f"{node.name} still believes in {name}")
+    raise TimeoutError(f"{node.name} did not declare {name} dead")
 
 
 def measure_memory() -> dict[str, float]:
-    """Return the memory of one idle link at the side that accepted it."""
+    """Return the memory of an idle link, in bytes, at the side that accepted it."""
     nodes = start(LINKS + 1)
     try:
         gevent.sleep(2.0)
--- a/packages/loomyard-standins/src/loomyard_standins/benches/members/node.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/members/node.py
@@ -1,4 +1,4 @@
-"""A process with the membership and links of one router, steered by lines on its input."""
+"""A process with the membership and links of one router, controlled by lines of its input."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 @peer_message("bench-counter")
 @frozen(kw_only=True)
 class Counter:
-    """A small message, like a counter of one account."""
+    """A small message, such as the counters of one client account."""
 
     account: str
     served: float
@@ -37,7 +37,7 @@
 
 
 class Node:
-    """One router's part; each command prints one line of JSON."""
+    """Membership and links of one router; its public methods are the commands."""
 
     def __init__(self, name: str, seed: str) -> None:
         self.clock = SystemClock()
@@ -49,49 +49,49 @@
             peers=(seed,) if seed else (),
             fleet_secret=(SECRET,),
         )
-        self.parts: FleetComponents = make_fleet_components(settings, self.clock)
-        self.parts.peers.handle(Counter, self._receive)
-        self.parts.peers.start()
-        self.parts.members.start()
+        self.components: FleetComponents = make_fleet_components(settings, self.clock)
+        self.components.peers.handle(Counter, self._receive)
+        self.components.peers.start()
+        self.components.members.start()
         self.changes: list[tuple[float, str, str]] = []
-        self.parts.members.subscribe(self._note)
+        self.components.members.subscribe(self._record_changes)
 
     def sample(self) -> dict[str, Any]:
-        """Return counters and processor seconds."""
+        """Return traffic counters, membership changes and CPU seconds."""
         return {
-            "kinds": {k: attrs.asdict(v) for k, v in self.parts.traffic.kinds.items()},
+            "kinds": {k: attrs.asdict(v) for k, v in self.components.traffic.kinds.items()},
             "cpu": cpu_seconds(),
-            "live": len(self.parts.members.live()),
+            "live": len(self.components.members.live()),
             "received": self.received,
             "changes": self.changes,
-            "address": self.parts.members.own.address,
+            "address": self.components.members.own.address,
         }
 
     def memory(self) -> dict[str, int]:
-        """Return the resident memory; apart, since reading it takes processor time."""
+        """Return the resident bytes; not part of ``sample`` as reading them takes CPU time."""
         return {"resident": resident_bytes()}
 
-    def flood(self, to: str, turns: str, pace: str, batch: str) -> dict[str, Any]:
-        """Send a batch of messages each turn, ``pace`` seconds apart; return processor seconds."""
+    def flood(self, to: str, rounds: str, interval: str, batch: str) -> dict[str, Any]:
+        """Send ``rounds`` batches of messages, ``interval`` seconds apart; return CPU seconds."""
         before = cpu_seconds()
-        for _ in range(int(turns)):
+        for _ in range(int(rounds)):
             for number in range(int(batch)):
                 message = Counter(account=f"a-{number}", served=1.5, waiting=number)
-                self.parts.peers.send(to, message)
-            gevent.sleep(float(pace))
+                self.components.peers.send(to, message)
+            gevent.sleep(float(interval))
         return {"cpu": cpu_seconds() - before}
 
     def ask(self, to: str) -> dict[str, Any]:
-        """Open a link by a request."""
+        """Open a link to a router by a request; return whether it answered."""
         message = Counter(account="a", served=1.0, waiting=1)
-        outcome = self.parts.peers.request(to, message, self.clock.now() + REQUEST_SECONDS)
+        outcome = self.components.peers.request(to, message, self.clock.now() + REQUEST_SECONDS)
         return {"answered": outcome.is_ok()}
 
     def _receive(self, sender: object, message: Counter) -> None:
         self.received += 1
 
-    def _note(self) -> None:
-        members = self.parts.members
+    def _record_changes(self) -> None:
+        members = self.components.members
         names = {name for _, name, _ in self.changes} | {m.name for m in members.live()}
         now = self.clock.now()
         for name in names:
@@ -101,7 +101,7 @@
 
 
 def main() -> None:
-    """Serve commands until the input ends."""
+    """Run commands, each answered by one line of JSON, until the input ends."""
     logging.disable(logging.CRITICAL)
     node = Node(sys.argv[1], sys.argv[2] if len(sys.argv) > 2 else "")
     for line in FileObject(sys.stdin, "r"):
--- a/packages/loomyard-standins/src/loomyard_standins/benches/slopes/__init__.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slopes/__init__.py
@@ -1,1 +1,1 @@
-"""Slopes of memory, processor time and traffic against each size that grows."""
+"""Slopes of memory, CPU time and traffic against the size of the fleet or its configuration."""
--- a/packages/loomyard-standins/src/loomyard_standins/benches/slopes/__main__.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slopes/__main__.py
@@ -1,4 +1,4 @@
-"""Measure every probe at its sizes, a process for each point, and fit lines."""
+"""Measure every probe at its sizes, one process for each point, and fit straight lines."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from loomyard_standins.benches.slopes.probes import PROBES  # noqa: E402
 from loomyard_standins.benches.slopes.sample import Sample  # noqa: E402
 
-POINT_TIMEOUT = 60
+POINT_TIMEOUT_SECONDS = 60
 
 
 def main() -> int:
-    """Run all probes, or one point where asked."""
+    """Run all probes, one probe or, with ``--size``, one point of a probe."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--probe", choices=sorted(PROBES))
     parser.add_argument("--size", type=int)
@@ -51,7 +51,7 @@
 
 def _point(name: str, size: int) -> Sample:
     command = [sys.executable, "-m", __package__, "--probe", name, "--size", str(size)]
-    output = subprocess.check_output(command, timeout=POINT_TIMEOUT)
+    output = subprocess.check_output(command, timeout=POINT_TIMEOUT_SECONDS)
     return Sample(**json.loads(output.splitlines()[-1]))
 
 
--- a/packages/loomyard-standins/src/loomyard_standins/benches/slopes/call_timer.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slopes/call_timer.py
@@ -1,4 +1,4 @@
-"""Processor time spent inside chosen calls."""
+"""Time spent inside chosen calls."""
 
 from __future__ import annotations
 
@@ -10,14 +10,17 @@
 
 
 class CallTimer:
-    """Add up the processor time of wrapped calls; nested ones count once."""
+    """Add up the wall-clock seconds inside wrapped calls; nested calls count once.
+
+    Calls that never block make that their CPU time.
+    """
 
     def __init__(self) -> None:
         self.seconds = 0.0
         self._depth = 0
 
     def wrap(self, owner: Any, name: str) -> None:
-        """Time a method of one object."""
+        """Replace a method of one object by a timed one."""
         setattr(owner, name, self._timed(getattr(owner, name)))
 
     def _timed(self, call: Callable) -> Callable:
--- a/packages/loomyard-standins/src/loomyard_standins/benches/slopes/claims_probe.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slopes/claims_probe.py
@@ -1,4 +1,4 @@
-"""Memory and processor time of a host for each remembered idempotency key."""
+"""Memory and CPU time for each retained idempotency key."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 from loomyard_standins.benches.slopes.usage import cpu_seconds, resident_bytes
 
 KEYS_PER_BATCH = 16
-WALL = 1_000_000.0
-WINDOW = 3600.0
+BEGUN_AT = 1_000_000.0
+RETENTION_SECONDS = 3600.0
 BODY = b'{"receipt": 123456, "bay": 7, "state": "swapped"}'
 
 
 @frozen
 class ClaimsProbe:
-    """Fold batches of begun and finished claims; the body kept has 49 bytes."""
+    """Apply batches of begun and finished claims whose recorded answers have 49 bytes."""
 
     sizes: tuple[int, ...] = (5_000, 10_000, 20_000, 40_000)
 
     def measure(self, size: int) -> Sample:
-        """Fold a number of keys."""
+        """Apply the claims of ``size`` keys to an empty partition."""
         state = PartitionState()
         log_bytes, batches = 0, 0
-        memory, processor = resident_bytes(), 0.0
+        memory, cpu = resident_bytes(), 0.0
         for first in range(0, size, KEYS_PER_BATCH):
             for payload in _payloads(range(first, min(size, first + KEYS_PER_BATCH))):
                 started = cpu_seconds()
                 state.apply(unpack(payload, ClaimBatch).unwrap())
-                processor += cpu_seconds() - started
+                cpu += cpu_seconds() - started
                 log_bytes += len(payload)
                 batches += 1
         return Sample(
             size=size,
             quantities={
                 "rss_bytes": resident_bytes() - memory,
-                "fold_cpu_seconds": processor,
+                "fold_cpu_seconds": cpu,
                 "log_bytes": log_bytes,
             },
         )
@@ -48,8 +48,8 @@
 def _payloads(numbers: range) -> list[bytes]:
     outcome = RecordedOutcome(status=201, content_type="application/json", body=BODY)
     begun = [_begun(number) for number in numbers]
-    ends = [Finished(claim_id=b.claim_id, key=b.key, outcome=outcome) for b in begun]
-    return [pack(ClaimBatch(begun=begun)), pack(ClaimBatch(finished=ends))]
+    finished = [Finished(claim_id=b.claim_id, key=b.key, outcome=outcome) for b in begun]
+    return [pack(ClaimBatch(begun=begun)), pack(ClaimBatch(finished=finished))]
 
 
 def _begun(number: int) -> Begun:
@@ -59,7 +59,7 @@
         fingerprint=number.to_bytes(16, "big"),
         owner=f"router-{number % 360}",
         incarnation=number % 360 << 32,
-        begun_at=WALL,
-        answer_by=WALL + 60,
-        keep_until=WALL + WINDOW,
+        begun_at=BEGUN_AT,
+        answer_by=BEGUN_AT + 60,
+        keep_until=BEGUN_AT + RETENTION_SECONDS,
     )
--- a/packages/loomyard-standins/src/loomyard_standins/benches/slopes/configuration_probe.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slopes/configuration_probe.py
@@ -1,4 +1,4 @@
-"""A configuration of many client accounts."""
+"""Memory and CPU time of a configuration against its number of client accounts."""
 
 from __future__ import annotations
 
@@ -16,11 +16,12 @@
 
 
 class ConfigurationProbe:
-    """Memory of a configuration, and processor time of one change to it."""
+    """Memory of a configuration, and CPU time of one change to it."""
 
     sizes = (2_000, 8_000, 16_000, 31_000)
 
     def measure(self, size: int) -> Sample:
+        """Build a configuration of ``size`` accounts and time changes of one account."""
         before = resident_bytes()
         state = ConfigState()
         offset = 0
--- a/packages/loomyard-standins/src/loomyard_standins/benches/slopes/fit.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slopes/fit.py
@@ -1,4 +1,4 @@
-"""A straight line through measured points."""
+"""Least-squares fit of a straight line."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @frozen(kw_only=True)
 class Fit:
-    """A line and its largest residual, relative to the largest value measured."""
+    """A straight line, and its largest residual relative to the largest value measured."""
 
     intercept: float
     slope: float
--- a/packages/loomyard-standins/src/loomyard_standins/benches/slopes/membership_probe.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slopes/membership_probe.py
@@ -1,4 +1,4 @@
-"""The membership of one router in fleets of several sizes, the others played by one stand-in."""
+"""Cost of membership for one router against the fleet size, with the other routers simulated."""
 
 from __future__ import annotations
 
@@ -24,52 +24,53 @@
 
 
 class MembershipProbe:
-    """Table, datagrams and processor time of a router, without its wake-ups."""
+    """Memory, datagrams and CPU time of the membership of a router, without its timers."""
 
     sizes = (8, 60, 180, 360)
 
     def measure(self, size: int) -> Sample:
-        crowd = Crowd(size - 1)
+        """Run the membership in a fleet of ``size`` routers for TIMED_SECONDS of fake time."""
+        fleet = SimulatedFleet(size - 1)
         before = resident_bytes()
-        crowd.admit()
-        crowd.run(SETTLE_SECONDS)
+        fleet.start_router()
+        fleet.run(SETTLE_SECONDS)
         memory = resident_bytes() - before
-        assert len(crowd.member.live()) == size
-        datagrams, sent = crowd.traffic.sent_messages, crowd.traffic.sent_bytes
-        crowd.used = 0.0
-        crowd.run(TIMED_SECONDS)
+        assert len(fleet.member.live()) == size
+        datagrams, sent = fleet.traffic.sent_messages, fleet.traffic.sent_bytes
+        fleet.router_cpu_seconds = 0.0
+        fleet.run(TIMED_SECONDS)
         return Sample(
             size=size,
             quantities={
                 "rss_bytes": memory,
-                "cpu_seconds_per_second": crowd.used / TIMED_SECONDS,
-                "sent_datagrams_per_second": (crowd.traffic.sent_messages - datagrams)
+                "cpu_seconds_per_second": fleet.router_cpu_seconds / TIMED_SECONDS,
+                "sent_datagrams_per_second": (fleet.traffic.sent_messages - datagrams)
                 / TIMED_SECONDS,
-                "sent_bytes_per_second": (crowd.traffic.sent_bytes - sent) / TIMED_SECONDS,
+                "sent_bytes_per_second": (fleet.traffic.sent_bytes - sent) / TIMED_SECONDS,
             },
         )
 
 
-class Crowd:
-    """Answer the pings of one router as many others would, and ping it as often as they would.
+class SimulatedFleet:
+    """Simulates all other routers of a fleet: answers the pings of one router and pings it.
 
-    ``used`` is the processor time of the router alone.
+    ``router_cpu_seconds`` is the CPU time in seconds of that router alone.
     """
 
     def __init__(self, others: int) -> None:
         self.clock = FakeClock()
-        self.used = 0.0
+        self.router_cpu_seconds = 0.0
         self.traffic = TrafficCounters()
-        self._random = random.Random(1)
+        self._rng = random.Random(1)
         self._key = SECRET.keys(PURPOSE)[0]
         self._sequence = 0
-        self._arriving: deque[bytes] = deque()
+        self._inbox: deque[bytes] = deque()
         self._updates = {f"10.0.{n // 250}.{n % 250 + 2}:7000": _update(n) for n in range(others)}
         self._addresses = list(self._updates)
         self._digest = 0
 
-    def admit(self) -> None:
-        """Start the router and tell it of all others."""
+    def start_router(self) -> None:
+        """Start the router and send it the updates of all others."""
         own = Member(name="router-own", incarnation=1, address=OWN, data_centre="dc-1")
         self.member = SwimMembership(
             own=own,
@@ -81,29 +82,30 @@
             seed=1,
         )
         for address in self._addresses:
-            self._say(DatagramKind.ACK, address, 0, [self._updates[address]])
-        self._arrive()
+            self._send_datagram(DatagramKind.ACK, address, 0, [self._updates[address]])
+        self._deliver()
 
     def run(self, seconds: float) -> None:
-        """Let time pass; on average each period one other router pings this one."""
+        """Advance the clock; one other router pings this one each period, the average of a fleet."""
         until = self.clock.now() + seconds
         period = 0.0
         while self.clock.now() < until:
             self.clock.advance(TIMES.tick)
             if self.clock.now() >= period:
                 period = self.clock.now() + TIMES.period
-                address = self._random.choice(self._addresses)
-                self._say(DatagramKind.PING, address, 1, [self._updates[address]])
+                address = self._rng.choice(self._addresses)
+                self._send_datagram(DatagramKind.PING, address, 1, [self._updates[address]])
             started = cpu_seconds()
             self.member.tick()
-            self.used += cpu_seconds() - started
-            self._arrive()
+            self.router_cpu_seconds += cpu_seconds() - started
+            self._deliver()
 
     def send(self, address: str, data: bytes) -> None:
+        """Take a datagram of the router and answer it if it is a ping."""
         datagram = unpack(data[MAC_BYTES:], Datagram).unwrap()
         self._digest = datagram.digest
         if datagram.kind is DatagramKind.PING:
-            self._say(DatagramKind.ACK, address, datagram.nonce, [])
+            self._send_datagram(DatagramKind.ACK, address, datagram.nonce, [])
 
     def start(self, receive: object) -> None:
         pass
@@ -111,7 +113,7 @@
     def stop(self) -> None:
         pass
 
-    def _say(
+    def _send_datagram(
         self, kind: DatagramKind, address: str, nonce: int, updates: list[MemberUpdate]
     ) -> None:
         self._sequence += 1
@@ -123,19 +125,19 @@
             refutation=0,
             sequence=self._sequence,
             nonce=nonce,
-            # The table of the router itself, so that it sees agreement, as in a calm fleet.
+            # The digest of the router itself: all tables agree, as in a fleet without changes.
             digest=self._digest,
             updates=updates,
         )
         body = pack(datagram)
-        self._arriving.append(truncated_hmac(self._key, OWN.encode(), body) + body)
+        self._inbox.append(truncated_hmac(self._key, OWN.encode(), body) + body)
 
-    def _arrive(self) -> None:
-        while self._arriving:
-            data = self._arriving.popleft()
+    def _deliver(self) -> None:
+        while self._inbox:
+            data = self._inbox.popleft()
             started = cpu_seconds()
             self.member.receive(data)
-            self.used += cpu_seconds() - started
+            self.router_cpu_seconds += cpu_seconds() - started
 
 
 def _update(number: int) -> MemberUpdate:
--- a/packages/loomyard-standins/src/loomyard_standins/benches/slopes/probe.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slopes/probe.py
@@ -1,4 +1,4 @@
-"""The protocol of what is measured against a size."""
+"""Protocol of the probes."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class Probe(Protocol):
-    """Measure one size in a process of its own."""
+    """A measurement at several sizes, each in a process of its own."""
 
     @property
     def sizes(self) -> tuple[int, ...]:
         """Return the sizes to measure, four or more."""
 
     def measure(self, size: int) -> Sample:
-        """Build the size and measure it."""
+        """Build what is measured at a size and measure it."""
--- a/packages/loomyard-standins/src/loomyard_standins/benches/slopes/probes.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slopes/probes.py
@@ -1,4 +1,4 @@
-"""The probes by name."""
+"""All probes by name."""
 
 from __future__ import annotations
 
--- a/packages/loomyard-standins/src/loomyard_standins/benches/slopes/sample.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slopes/sample.py
@@ -1,4 +1,4 @@
-"""One measured point."""
+"""A measured point of a probe."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @frozen(kw_only=True)
 class Sample:
-    """A size and what was measured at it, by quantity.
+    """A size and the values measured at it, by quantity.
 
     The name of a quantity ends in its unit: ``rss_bytes``, ``cpu_seconds``, ``sent_bytes``.
     """
--- a/packages/loomyard-standins/src/loomyard_standins/benches/slopes/shares_probe.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slopes/shares_probe.py
@@ -1,4 +1,4 @@
-"""The fleet policy with ever more routers, at the load of each router in two years."""
+"""Cost of the fleet policy against the number of routers, at a constant load of each."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 from loomyard_standins.share_driver import ShareDriver
 from loomyard_standins.share_load import Load
 
+# The load expected in two years, scaled down to each size.
 ROUTERS = 360
 ACCOUNTS = 3_100
 TARGETS = 600
@@ -25,11 +26,12 @@
 
 
 class SharesProbe:
-    """Processor time and traffic of the allocator and of one other router."""
+    """CPU time and traffic of the allocator and of one other router."""
 
     sizes = (20, 45, 90, 180)
 
     def measure(self, size: int) -> Sample:
+        """Simulate ``size`` routers and measure TIMED_SECONDS after a warm-up."""
         before = resident_bytes()
         driver = _make_driver(size)
         allocator = driver.find_allocator()
@@ -45,14 +47,14 @@
         allocating.seconds = routing.seconds = 0.0
         names = f"router-{allocator}", f"router-{other}"
         served = dict(driver.served)
-        use = _UseMeter(driver)
+        utilisation = _UtilisationMeter(driver)
         sent = [(driver.network.messages[n], driver.network.bytes[n]) for n in names]
         driver.agenda.run(WARM_SECONDS + TIMED_SECONDS)
         quantities = {
             "allocator_cores": allocating.seconds / TIMED_SECONDS,
             "router_cores": routing.seconds / TIMED_SECONDS,
             "driver_rss_bytes": resident_bytes() - before,
-            "utilisation_percent": use.percent,
+            "utilisation_percent": utilisation.percent,
             "service_spread_tokens": _spread(driver, served),
         }
         kinds = ("allocator", "router")
@@ -64,8 +66,8 @@
         return Sample(size=size, quantities=quantities)
 
 
-class _UseMeter:
-    """Sample the busy part of all slots."""
+class _UtilisationMeter:
+    """Samples the busy share of all slots."""
 
     def __init__(self, driver: ShareDriver) -> None:
         self._driver = driver
@@ -83,13 +85,13 @@
 
 
 def _spread(driver: ShareDriver, before: dict[str, float]) -> float:
-    """Return the largest difference of service between two accounts, all of them backlogged."""
+    """Return the largest difference of service between two accounts, which all have a backlog."""
     gained = [driver.served[name] - before.get(name, 0) for name in driver.routing.accounts]
     return max(gained) - min(gained)
 
 
 def _make_driver(size: int) -> ShareDriver:
-    chance = random.Random(size)
+    rng = random.Random(size)
     accounts = round(ACCOUNTS * size / ROUTERS)
     loads = [
         Load(
@@ -97,7 +99,7 @@
             service=f"service-{number % SERVICES}",
             mean=MEAN_TOKENS,
             outstanding=OUTSTANDING,
-            routers=tuple(chance.sample(range(size), ROUTERS_PER_ACCOUNT)),
+            routers=tuple(rng.sample(range(size), ROUTERS_PER_ACCOUNT)),
         )
         for number in range(accounts)
     ]
--- a/packages/loomyard-standins/src/loomyard_standins/benches/slopes/targets_probe.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slopes/targets_probe.py
@@ -1,4 +1,4 @@
-"""The target directory with 600 targets, of which this router polls some."""
+"""Cost of the target directory against the number of targets that this router polls."""
 
 from __future__ import annotations
 
@@ -25,11 +25,15 @@
 
 
 class TargetsProbe:
-    """Processor time by the targets polled, 1.67 of them at 360 routers; memory of all 600."""
+    """CPU time by targets polled, and memory of a directory of 600 targets.
+
+    With 360 routers each router polls 1.67 of the 600 targets.
+    """
 
     sizes = (2, 8, 16, 32)
 
     def measure(self, size: int) -> Sample:
+        """Poll ``size`` engines of a child process for TIMED_SECONDS."""
         item = {"type": "model", "service": "model", "slots": 8}
         plan = {"step_seconds": STEP_SECONDS, "targets": [item] * size}
         engines = Child("engine_process", json.dumps(plan))
--- a/packages/loomyard-standins/src/loomyard_standins/benches/slopes/usage.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slopes/usage.py
@@ -1,4 +1,4 @@
-"""Memory and processor time of this process."""
+"""Memory and CPU time of this process."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def resident_bytes() -> int:
-    """Return the resident memory after a collection."""
+    """Return the resident memory in bytes after a garbage collection."""
     gc.collect()
     pages = Path("/proc/self/statm").read_text().split()[1]
     return int(pages) * PAGE_BYTES
 
 
 def cpu_seconds() -> float:
-    """Return the processor time used so far."""
+    """Return the CPU time that this process has used, in seconds."""
     return time.process_time()
--- a/packages/loomyard-standins/src/loomyard_standins/demonstration/__init__.py
+++ b/packages/loomyard-standins/src/loomyard_standins/demonstration/__init__.py
@@ -1,1 +1,1 @@
-"""The callers of the demonstration and what they saw."""
+"""Callers of the demonstration and their metrics."""
--- a/packages/loomyard-standins/src/loomyard_standins/demonstration/callers.py
+++ b/packages/loomyard-standins/src/loomyard_standins/demonstration/callers.py
@@ -1,4 +1,4 @@
-"""Callers that ask again as soon as they are answered."""
+"""Closed-loop callers: each sends its next request when it has the answer to the last."""
 
 from __future__ import annotations
 
@@ -16,20 +16,23 @@
 PROMPT = "Swap receipt for rider 17: "
 HTTP_OK = 200
 ANSWER_TIMEOUT = 60.0
-EVENTS_BESIDE_TOKENS = 2
+# The usage event and the end of the stream.
+NON_TOKEN_EVENTS = 2
 
 
 class Caller:
-    """One caller of a client account, at one router."""
+    """One caller of a client account, connected to one router."""
 
     def __init__(self, url: str, key: str, tally: Tally) -> None:
-        parts = urlsplit(url)
-        self._client = make_http_client(parts.hostname, parts.port, network_timeout=ANSWER_TIMEOUT)
+        address = urlsplit(url)
+        self._client = make_http_client(
+            address.hostname, address.port, network_timeout=ANSWER_TIMEOUT
+        )
         self._headers = {"Authorization": f"Bearer {key}"}
         self._tally = tally
 
     def ask(self, until: float, *, stream: bool) -> None:
-        """Ask for completions until a monotonic time."""
+        """Request completions until a monotonic time."""
         body = {"model": "assistant", "prompt": PROMPT, "max_tokens": TOKENS, "stream": stream}
         if stream:
             body["stream_options"] = {"include_usage": True}
@@ -39,7 +42,7 @@
                 self._tally.tokens += _count_tokens(answer, stream=stream)
 
     def write_receipts(self, until: float) -> None:
-        """Write receipts, each at most once, until a monotonic time."""
+        """Write receipts, each with an idempotency key of its own, until a monotonic time."""
         number = 0
         while time.monotonic() < until:
             number += 1
@@ -62,5 +65,5 @@
 
 def _count_tokens(answer: bytes, *, stream: bool) -> int:
     if stream:
-        return answer.count(b"\n\n") - EVENTS_BESIDE_TOKENS
+        return answer.count(b"\n\n") - NON_TOKEN_EVENTS
     return json.loads(answer)["usage"]["completion_tokens"]
--- a/packages/loomyard-standins/src/loomyard_standins/demonstration/tally.py
+++ b/packages/loomyard-standins/src/loomyard_standins/demonstration/tally.py
@@ -1,4 +1,4 @@
-"""What one client account saw."""
+"""Counters and latencies of the callers of one client account."""
 
 from __future__ import annotations
 
--- a/packages/loomyard-standins/src/loomyard_standins/demonstration/utilisation.py
+++ b/packages/loomyard-standins/src/loomyard_standins/demonstration/utilisation.py
@@ -1,4 +1,4 @@
-"""The part of the engines' slots that is busy."""
+"""Utilisation of the slots of the engines."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class UtilisationMeter:
-    """Sample the running requests of engines."""
+    """Samples the share of busy slots every SAMPLE_SECONDS."""
 
     def __init__(self, engines: list[EngineServer], slots: int) -> None:
         self._engines = engines
@@ -22,7 +22,7 @@
         self._task = gevent.spawn(self._run)
 
     def stop(self) -> float:
-        """Stop and return the mean part of the slots that was busy."""
+        """Stop sampling; return the mean utilisation, from 0 to 1."""
         self._task.kill()
         return sum(self._samples) / max(1, len(self._samples))
 
