--- a/packages/loomyard-standins/src/loomyard_standins/benches/slopes/membership_probe.py
+++ b/packages/loomyard-standins/src/loomyard_standins/benches/slopes/membership_probe.py
@@ -86,7 +86,7 @@
         self._deliver()
 
     def run(self, seconds: float) -> None:
-        """Advance the clock; one other router pings this one each period, the average of a fleet."""
+        """Advance the clock; one other router pings this one each period, the mean of a fleet."""
         until = self.clock.now() + seconds
         period = 0.0
         while self.clock.now() < until:
