--- a/packages/loomyard-standins/src/loomyard_standins/programs/fault_injector.py
+++ b/packages/loomyard-standins/src/loomyard_standins/programs/fault_injector.py
@@ -54,10 +54,10 @@
 
 
 class FaultInjector:
-    """Inject faults into a fleet, at most one at a time into each component.
+    """Inject faults into a fleet.
 
-    ``until`` is the time by which the faults end, in seconds from their start. A fault whose
-    component has another fault at its time is skipped.
+    ``until`` is the time by which the faults end, in seconds from their start. Each
+    fault reserves what it acts on, and is skipped while another fault has reserved the same.
     """
 
     def __init__(
@@ -115,22 +115,22 @@
             self._fleet.replace_target(target, crash=True)
             self._reserved.remove(target)
 
-    def _router(self, planned: PlannedFault) -> Router:
+    def _choose_router(self, planned: PlannedFault) -> Router:
         return self._fleet.routers[planned.choice % len(self._fleet.routers)]
 
-    def _target(self, planned: PlannedFault) -> Target:
+    def _choose_target(self, planned: PlannedFault) -> Target:
         return self._fleet.targets[planned.choice % len(self._fleet.targets)]
 
-    def _reserve(self, component: object) -> bool:
-        """Reserve a component for a fault; return false if another fault has it."""
-        if component in self._reserved:
+    def _reserve(self, resource: object) -> bool:
+        """Reserve what a fault acts on; return false if another fault has it."""
+        if resource in self._reserved:
             return False
-        self._reserved.add(component)
+        self._reserved.add(resource)
         self.injected += 1
         return True
 
     def _restart(self, planned: PlannedFault, number: signal.Signals) -> None:
-        router = self._router(planned)
+        router = self._choose_router(planned)
         if self._reserve(router):
             with self._disturbed(router.address):
                 self._fleet.restart_router(router, number)
@@ -138,7 +138,7 @@
             self._reserved.remove(router)
 
     def _replace(self, planned: PlannedFault, *, crash: bool) -> None:
-        target = self._target(planned)
+        target = self._choose_target(planned)
         if self._reserve(target):
             self._fleet.replace_target(target, crash=crash)
             self._reserved.remove(target)
@@ -150,7 +150,7 @@
             gevent.sleep(POLL_SECONDS)
 
     def _pause_router(self, planned: PlannedFault, *, suspended: bool) -> None:
-        router = self._router(planned)
+        router = self._choose_router(planned)
         if suspended:
             router.program.signal(SUSPEND_SIGNAL)
             gevent.sleep(SUSPEND_NOTICE_SECONDS)
@@ -158,7 +158,7 @@
             self._pause(planned, router.program)
 
     def _pause_target(self, planned: PlannedFault) -> None:
-        target = self._target(planned)
+        target = self._choose_target(planned)
         with self._disturbed(target.id):
             self._pause(planned, target.program)
 
@@ -167,13 +167,13 @@
             self._pause(planned, self._fleet.store)
 
     def _restart_target(self, planned: PlannedFault) -> None:
-        target = self._target(planned)
+        target = self._choose_target(planned)
         if self._reserve(target):
             self._fleet.restart_target(target)
             self._reserved.remove(target)
 
     def _make_cold(self, planned: PlannedFault) -> None:
-        target = self._target(planned)
+        target = self._choose_target(planned)
         if self._reserve((target, "cold")):
             target.cold_seconds = EFFECT_SECONDS
             self._fleet.announce(target)
@@ -196,7 +196,7 @@
 
     def _write_invalid_entries(self, planned: PlannedFault) -> None:
         value = INVALID_VALUES[planned.choice % len(INVALID_VALUES)]
-        target = self._target(planned)
+        target = self._choose_target(planned)
         if self._reserve((target, "written")):
             self._fleet.publish_entry(TARGETS_TOPIC, f"other-{planned.choice}", value)
             if not self.rollbacks_in_check:
@@ -284,7 +284,7 @@
             self._fleet.violations.append(Violation(Invariant.IN_FORCE, detail))
 
     def _notify_leaving(self, planned: PlannedFault) -> None:
-        target = self._target(planned)
+        target = self._choose_target(planned)
         if self._reserve(target):
             self._fleet.notify_leaving(target)
             self._wait_for_effect(planned)
@@ -292,7 +292,7 @@
             self._reserved.remove(target)
 
     def _request_backoff(self, planned: PlannedFault) -> None:
-        target = self._target(planned)
+        target = self._choose_target(planned)
         if self._reserve((target, "rest")):
             self._fleet.request_backoff(target, BACKOFF_SECONDS)
             self._wait_for_effect(planned)
@@ -300,7 +300,7 @@
             self._reserved.remove((target, "rest"))
 
     def _cut_target(self, planned: PlannedFault) -> None:
-        target = self._target(planned)
+        target = self._choose_target(planned)
         if self._reserve(target.proxy):
             with self._disturbed(target.id):
                 target.proxy.set_fault(LINK_FAULTS[planned.choice % len(LINK_FAULTS)])
@@ -309,7 +309,7 @@
             self._reserved.remove(target.proxy)
 
     def _cut_store(self, planned: PlannedFault, *, all_routers: bool) -> None:
-        routers = self._fleet.routers if all_routers else [self._router(planned)]
+        routers = self._fleet.routers if all_routers else [self._choose_router(planned)]
         links = [router.store_proxy for router in routers if self._reserve(router.store_proxy)]
         addresses = [router.address for router in routers if router.store_proxy in links]
         with self._disturbed(*addresses):
