--- a/packages/loomyard-router/src/loomyard_router/announced/order_rollback_policy.py
+++ b/packages/loomyard-router/src/loomyard_router/announced/order_rollback_policy.py
@@ -10,8 +10,8 @@
     from loomyard_router.feeds.keyed_record import KeyedRecord
 
 # For how long an evacuation order or configuration holds that is not written again. The store tells
-# its author of the loss, who writes again within seconds. Evacuating for too long costs only
-# capacity, whereas requests sent to an evacuated data centre can't be recalled.
+# its writer of the rollback, and the record is written again within seconds. Evacuating too long
+# costs only capacity, whereas requests sent to an evacuated data centre can't be recalled.
 ORDER_RETENTION_SECONDS = 10.0
 # For how long a data centre stays reinstated although a stale record evacuates it. The record may
 # have been written anew, and an order must take effect within five seconds.
--- a/packages/loomyard-router/src/loomyard_router/crashes/crash_guard.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/crash_guard.py
@@ -10,7 +10,7 @@
 from loomyard.errors import Fault, ResultCode
 from loomyard.events import Event, emit
 from loomyard_router.crashes.crash_ledger import BLOCKING_COUNT, MAX_RECORDS
-from loomyard_router.crashes.late_crash_detector import FailedAttempt, LateCrashDetector
+from loomyard_router.crashes.late_crash_detector import BrokenAttempt, LateCrashDetector
 
 if TYPE_CHECKING:
     from loomyard.clock import Clock
@@ -110,7 +110,7 @@
     ) -> None:
         if not self._probe.has_ended(target):
             if not established:
-                attempt = FailedAttempt(request.fingerprint, rank)
+                attempt = BrokenAttempt(request.fingerprint, rank)
                 self._late_detector.record_failure(target.incarnation, attempt, answered=answered)
             return
         self._late_detector.record_response(target.incarnation)
--- a/packages/loomyard-router/src/loomyard_router/crashes/late_crash_detector.py
+++ b/packages/loomyard-router/src/loomyard_router/crashes/late_crash_detector.py
@@ -23,7 +23,7 @@
 
 
 @frozen
-class FailedAttempt:
+class BrokenAttempt:
     """A failed attempt, by the fingerprint of the request and the rank of the attempt."""
 
     fingerprint: str
@@ -33,7 +33,7 @@
 @define
 class _SuspectedCrash:
     first_at: float
-    attempts: list[FailedAttempt] = field(factory=list)
+    attempts: list[BrokenAttempt] = field(factory=list)
     # Later attempts that failed without a byte of an answer.
     unanswered: int = 0
 
@@ -51,7 +51,7 @@
         self._suspected: dict[TargetLife, _SuspectedCrash] = {}
 
     def record_failure(
-        self, incarnation: TargetLife, attempt: FailedAttempt, *, answered: bool
+        self, incarnation: TargetLife, attempt: BrokenAttempt, *, answered: bool
     ) -> None:
         """Record a failed attempt; ``answered`` says that bytes of an answer had arrived."""
         now = self._clock.now()
@@ -73,7 +73,7 @@
         """Record that an incarnation began an answer, so it had not crashed."""
         self._suspected.pop(incarnation, None)
 
-    def pop_crashed(self, known: set[TargetLife]) -> Iterable[tuple[TargetLife, FailedAttempt]]:
+    def pop_crashed(self, known: set[TargetLife]) -> Iterable[tuple[TargetLife, BrokenAttempt]]:
         """Yield the attempts that failed at crashed incarnations, once each.
 
         ``known`` holds the listed incarnations. One crashed if it is not listed any more and a
--- a/tests/test_loomyard_router/test_crashing/test_liveness_probe.py
+++ b/tests/test_loomyard_router/test_crashing/test_liveness_probe.py
@@ -16,7 +16,7 @@
 from loomyard_router.crashes.late_crash_detector import (
     MAX_DELAY_SECONDS,
     SIMULTANEOUS_SECONDS,
-    FailedAttempt,
+    BrokenAttempt,
     LateCrashDetector,
 )
 from loomyard_router.crashes.liveness_probe import LivenessProbe
@@ -135,7 +135,7 @@
 
     def break_off(self, *names: str, answered: bool = True) -> None:
         for name in names:
-            self.detector.record_failure(INCARNATION, FailedAttempt(name, 1), answered=answered)
+            self.detector.record_failure(INCARNATION, BrokenAttempt(name, 1), answered=answered)
 
     def blamed(self, known: set[TargetLife]) -> set[str]:
         return {broken.fingerprint for _, broken in self.detector.pop_crashed(known)}
